--- a/crates/beechsaddle-core/src/admission/call_facts.rs
+++ b/crates/beechsaddle-core/src/admission/admission_input.rs
@@ -1,4 +1,4 @@
-//! The `call_facts` module provides what admission has to know of a call.
+//! The `admission_input` module provides the input of the admission decision.
 
 use crate::catalogue::{
     EntryClass, EntryId, EntryKind, EntryLimits, ModelEntry, ServiceEntry, WorkspaceEntry,
@@ -6,27 +6,25 @@
 use crate::clock::ClockTime;
 use crate::targets::ServiceLoad;
 
-/// A call that asks for admission.
+/// The properties of a call that admission depends on.
 #[derive(Clone, Copy, Debug)]
-pub struct CallFacts<'a> {
-    /// The workspace that calls.
+pub struct AdmissionInput<'a> {
     pub workspace: &'a WorkspaceEntry,
-    /// The service that is called.
     pub service: &'a ServiceEntry,
-    /// The model that is asked for, for engines.
+    /// The requested model; engines only.
     pub model: Option<&'a ModelEntry>,
-    /// How early the call is shed.
+    /// The class, which decides how early the call is shed.
     pub class: EntryClass,
-    /// The largest number of tokens that it can use.
+    /// The maximum number of tokens that the call can use.
     pub tokens: u64,
-    /// When the caller gives up.
+    /// The time at which the caller gives up.
     pub deadline: Option<ClockTime>,
-    /// How busy the targets are that may serve it.
+    /// The load of the targets that can serve the call.
     pub load: ServiceLoad,
 }
 
-impl CallFacts<'_> {
-    /// The entries that limit the call.
+impl AdmissionInput<'_> {
+    /// The entries whose limits apply to the call.
     pub fn limits(&self) -> Vec<(EntryId, EntryLimits)> {
         let mut limits = vec![
             (
--- a/crates/beechsaddle-core/src/admission/admission_options.rs
+++ b/crates/beechsaddle-core/src/admission/admission_options.rs
@@ -2,50 +2,50 @@
 
 use crate::catalogue::EntryClass;
 
-/// The pressure, in thousandths of what the router or the targets can take, at which the first
-/// calls of a class are shed and at which all are.
+/// The pressure range over which calls of a class are shed, in thousandths of the capacity of the
+/// router or the targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShedRange {
-    /// Below this none is shed.
+    /// The pressure below which no call is shed.
     pub first: u64,
-    /// From this on all are shed.
+    /// The pressure from which all calls are shed.
     pub all: u64,
 }
 
 /// Settings of an [`AdmissionGate`](super::AdmissionGate).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmissionOptions {
-    /// How many calls may be open at this router.
+    /// The maximum number of open calls at this router.
     pub open_calls: u32,
-    /// How many calls may wait at each engine before it counts as full.
+    /// The number of waiting calls at which an engine counts as full.
     pub waiting_per_target: u32,
-    /// When batch calls are shed.
+    /// The shedding range for batch calls.
     pub shed_batch: ShedRange,
-    /// When standard calls are shed.
+    /// The shedding range for standard calls.
     pub shed_standard: ShedRange,
-    /// When critical calls are shed.
+    /// The shedding range for critical calls.
     pub shed_critical: ShedRange,
-    /// The part of each limit, in thousandths, that is shared out evenly whatever the demand.
+    /// The part of each limit that is divided evenly regardless of demand, in thousandths.
     pub floor_permille: u64,
-    /// For how long a larger share has to hold before it is used, in milliseconds. Longer than a
-    /// heartbeat takes, so that the routers that have to give way know of it first.
-    pub settle_ms: u64,
-    /// How often a use is told again while it does not change, in milliseconds.
+    /// How long a larger share must persist before it is used, in milliseconds. Longer than a
+    /// heartbeat takes, so that the routers with smaller shares reduce their use first.
+    pub share_rise_delay_ms: u64,
+    /// The interval at which an unchanged use is sent again, in milliseconds.
     pub refresh_ms: u64,
-    /// For how long a peer's use counts without being told again, in milliseconds.
+    /// How long a peer's use counts without being sent again, in milliseconds.
     pub expire_ms: u64,
-    /// For how long the meter of an entry without calls is kept, in milliseconds.
+    /// How long the meter of an entry without calls is retained, in milliseconds.
     pub idle_ms: u64,
-    /// How many entries one heartbeat carries at most.
-    pub news_limit: usize,
-    /// For how many entries the use of peers is kept at most.
+    /// The maximum number of entries in one heartbeat.
+    pub update_limit: usize,
+    /// The maximum number of entries for which the use of peers is stored.
     pub meter_limit: usize,
-    /// The longest `Retry-After`, in milliseconds.
+    /// The maximum `Retry-After`, in milliseconds.
     pub retry_after_max_ms: u64,
 }
 
 impl AdmissionOptions {
-    /// When calls of a class are shed.
+    /// The shedding range for calls of a class.
     pub fn shed_range(&self, class: EntryClass) -> ShedRange {
         match class {
             EntryClass::Batch => self.shed_batch,
@@ -57,8 +57,8 @@
 
 impl Default for AdmissionOptions {
     fn default() -> Self {
-        // The ranges do not overlap, so that every call of a class is shed before the first one of
-        // the next class is.
+        // The ranges do not overlap, so that all calls of a class are shed before the first call of
+        // the next class.
         AdmissionOptions {
             open_calls: 2_000,
             waiting_per_target: 16,
@@ -75,11 +75,11 @@
                 all: 1_000,
             },
             floor_permille: 200,
-            settle_ms: 1_500,
+            share_rise_delay_ms: 1_500,
             refresh_ms: 3_000,
             expire_ms: 10_000,
             idle_ms: 120_000,
-            news_limit: 16,
+            update_limit: 16,
             meter_limit: 4_096,
             retry_after_max_ms: 60_000,
         }
--- a/crates/beechsaddle-core/src/admission/limit_meter.rs
+++ b/crates/beechsaddle-core/src/admission/limit_meter.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{AdmissionOptions, PromiseLine, RateBucket, ShareWindow, WindowSum};
+use super::{AdmissionOptions, RateBucket, RetrySlots, ShareWindow, WindowSum};
 use crate::catalogue::{EntryId, EntryLimits};
 use crate::clock::ClockTime;
 use crate::names::RouterIncarnation;
@@ -13,89 +13,88 @@
 const SECOND_MS: u64 = 1_000;
 const MINUTE_MS: u64 = 60_000;
 
-/// For how long a rate may be saved up, in milliseconds.
+/// The bursts that the token buckets allow, in milliseconds of their rate.
 const REQUEST_BURST_MS: f64 = 1_000.0;
 const TOKEN_BURST_MS: f64 = 15_000.0;
 
-/// The weight of the newest call in the average of how much of its bound a call uses.
+/// The weight of the newest call in the average of used tokens relative to the call's bound.
 const RATIO_WEIGHT: f64 = 0.05;
 
-/// The least part of its bound that a call is taken to use.
+/// The minimum fraction of its bound that a call is assumed to use.
 const RATIO_MIN: f64 = 0.02;
 
-/// A limit that has nothing left.
+/// An exhausted limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LimitShort {
-    /// Which limit.
+pub struct LimitExceeded {
     pub reason: RefusalReason,
-    /// After how many milliseconds coming back helps; `None` when it never does.
+    /// The delay in milliseconds after which a retry can succeed; `None` if it never can.
     pub retry_after_ms: Option<u64>,
 }
 
-/// One entry's limits at one router.
+/// One entry's limits and their use at one router.
 #[derive(Debug)]
 pub struct LimitMeter {
     pub(super) limits: EntryLimits,
     pub(super) running: u32,
-    pub(super) touched: ClockTime,
+    pub(super) last_used_at: ClockTime,
     pub(super) peers: BTreeMap<RouterIncarnation, (LimitUse, ClockTime)>,
-    pub(super) told: Option<(LimitUse, ClockTime)>,
+    pub(super) sent: Option<(LimitUse, ClockTime)>,
     held_back: WindowSum,
-    requests_asked: WindowSum,
-    tokens_asked: WindowSum,
+    request_demand: WindowSum,
+    token_demand: WindowSum,
     running_share: ShareWindow,
     request_share: ShareWindow,
     token_share: ShareWindow,
     request_bucket: RateBucket,
     token_bucket: RateBucket,
-    promises: PromiseLine,
+    retry_slots: RetrySlots,
     used_ratio: f64,
     mean_call_ms: f64,
 }
 
 impl LimitMeter {
-    /// A meter without use.
+    /// Creates a meter without use.
     pub fn new(limits: EntryLimits) -> Self {
         LimitMeter {
             limits,
             running: 0,
-            touched: ClockTime::ZERO,
+            last_used_at: ClockTime::ZERO,
             peers: BTreeMap::new(),
-            told: None,
+            sent: None,
             held_back: WindowSum::new(SECOND_MS),
-            requests_asked: WindowSum::new(SECOND_MS),
-            tokens_asked: WindowSum::new(MINUTE_MS),
+            request_demand: WindowSum::new(SECOND_MS),
+            token_demand: WindowSum::new(MINUTE_MS),
             running_share: ShareWindow::default(),
             request_share: ShareWindow::default(),
             token_share: ShareWindow::default(),
             request_bucket: RateBucket::default(),
             token_bucket: RateBucket::default(),
-            promises: PromiseLine::default(),
+            retry_slots: RetrySlots::default(),
             used_ratio: 1.0,
             mean_call_ms: 1_000.0,
         }
     }
 
-    /// Notes that a call asks, and tells which limit has nothing left for it, if any.
-    pub fn ask(
+    /// Records the demand of a call and checks it against all limits.
+    pub fn check(
         &mut self,
         now: ClockTime,
         tokens: u64,
         routers: usize,
         options: &AdmissionOptions,
         random: &mut SeededRandom,
-    ) -> Result<(), LimitShort> {
-        self.touched = now;
+    ) -> Result<(), LimitExceeded> {
+        self.last_used_at = now;
         let cost = self.cost_of(tokens);
-        self.requests_asked.add(now, 1);
-        self.tokens_asked.add(now, cost as u64);
+        self.request_demand.add(now, 1);
+        self.token_demand.add(now, cost as u64);
         self.update_shares(now, routers, options);
         self.check_running(now, routers, options, random)?;
         self.check_requests(now, options, random)?;
         self.check_tokens(now, cost, options, random)
     }
 
-    /// Takes what an admitted call needs.
+    /// Charges an admitted call to the limits.
     pub fn take(&mut self, now: ClockTime, tokens: u64) {
         self.running += 1;
         self.request_bucket.take(now, 1.0);
@@ -103,10 +102,11 @@
         self.token_bucket.take(now, cost);
     }
 
-    /// Gives back what a call held that ended with `used` of its `tokens`.
-    pub fn give_back(&mut self, now: ClockTime, tokens: u64, used: u64, call_ms: u64) {
+    /// Releases the concurrency of an ended call and corrects its cost to the `used` of its
+    /// `tokens`.
+    pub fn release(&mut self, now: ClockTime, tokens: u64, used: u64, call_ms: u64) {
         self.running = self.running.saturating_sub(1);
-        // The cost was guessed when the call began; the bucket pays or gets the difference now.
+        // The cost was estimated at admission; the bucket is charged or credited the difference.
         let cost = self.cost_of(tokens);
         self.token_bucket.take(now, used as f64 - cost);
         if tokens > 0 {
@@ -116,31 +116,32 @@
         self.mean_call_ms += RATIO_WEIGHT * (call_ms as f64 - self.mean_call_ms);
     }
 
-    /// What this router's callers ask of the limits.
+    /// The demand of this router's callers.
     pub fn own_use(&mut self, now: ClockTime, entry: &EntryId) -> LimitUse {
         let held_back = u32::try_from(self.held_back.sum(now)).unwrap_or(u32::MAX);
         LimitUse {
             entry: entry.clone(),
             running: self.running,
             held_back,
-            requests: u32::try_from(self.requests_asked.sum(now)).unwrap_or(u32::MAX),
-            tokens: self.tokens_asked.sum(now),
+            requests: u32::try_from(self.request_demand.sum(now)).unwrap_or(u32::MAX),
+            tokens: self.token_demand.sum(now),
         }
     }
 
-    /// Whether nothing is held and nothing was asked for long.
+    /// Whether no call is running, no peer reports use and the meter has been unused for the idle
+    /// time.
     pub fn is_idle(&self, now: ClockTime, options: &AdmissionOptions) -> bool {
-        self.running == 0 && self.peers.is_empty() && now.since(self.touched) > options.idle_ms
+        self.running == 0 && self.peers.is_empty() && now.since(self.last_used_at) > options.idle_ms
     }
 
-    /// Works out this router's shares from its own demand and that of its peers.
+    /// Computes this router's shares from its own demand and that of its peers.
     pub fn update_shares(&mut self, now: ClockTime, routers: usize, options: &AdmissionOptions) {
         self.peers
-            .retain(|_, (_, heard)| now.since(*heard) <= options.expire_ms);
+            .retain(|_, (_, received_at)| now.since(*received_at) <= options.expire_ms);
         let held_back = self.held_back.sum(now);
         let running = u64::from(self.running) + held_back;
-        let requests = self.requests_asked.sum(now);
-        let tokens = self.tokens_asked.sum(now);
+        let requests = self.request_demand.sum(now);
+        let tokens = self.token_demand.sum(now);
         let peer_running: u64 = self
             .peers
             .values()
@@ -152,18 +153,18 @@
             .map(|(peer, _)| u64::from(peer.requests))
             .sum();
         let peer_tokens: u64 = self.peers.values().map(|(peer, _)| peer.tokens).sum();
-        let settle_ms = options.settle_ms;
+        let share_rise_delay_ms = options.share_rise_delay_ms;
         let share = share_of(running, peer_running, routers, options);
-        self.running_share.settle(now, share, settle_ms);
+        self.running_share.record(now, share, share_rise_delay_ms);
         let share = share_of(requests, peer_requests, routers, options);
-        let share = self.request_share.settle(now, share, settle_ms);
+        let share = self.request_share.record(now, share, share_rise_delay_ms);
         if let Some(limit) = self.limits.requests_per_second {
             let rate = share * f64::from(limit) / SECOND_MS as f64;
             let burst = (rate * REQUEST_BURST_MS).max(1.0);
             self.request_bucket.set_rate(now, rate, burst);
         }
         let share = share_of(tokens, peer_tokens, routers, options);
-        let share = self.token_share.settle(now, share, settle_ms);
+        let share = self.token_share.record(now, share, share_rise_delay_ms);
         if let Some(limit) = self.limits.tokens_per_minute {
             let rate = share * limit as f64 / MINUTE_MS as f64;
             self.token_bucket.set_rate(now, rate, rate * TOKEN_BURST_MS);
@@ -176,16 +177,16 @@
         routers: usize,
         options: &AdmissionOptions,
         random: &mut SeededRandom,
-    ) -> Result<(), LimitShort> {
+    ) -> Result<(), LimitExceeded> {
         let Some(limit) = self.limits.concurrency else {
             return Ok(());
         };
         let share = self.running_share.current();
-        // Rounding up lets each router run at least one call of an entry whose limit is smaller
-        // than the number of routers; together they may exceed it by one call a router.
+        // Rounding up lets each router run at least one call of an entry whose limit is below the
+        // number of routers; together they may exceed it by one call per router.
         let shared = (share * f64::from(limit)).ceil() as u32;
-        // Calls that run are not cut when a share falls. Until the losing router's calls have ended,
-        // the gaining one gets only what they leave, and its floor.
+        // Running calls are not cancelled when a share shrinks. Until they end, a router whose
+        // share grows gets only what they leave free, and its floor.
         let even = options.floor_permille as f64 / 1_000.0 / routers.max(1) as f64;
         let floor = (even * f64::from(limit)).ceil() as u32;
         let allowed = shared.min(limit.saturating_sub(self.peer_running()).max(floor));
@@ -194,17 +195,17 @@
         }
         self.held_back.add(now, 1);
         if allowed == 0 {
-            return Err(short(RefusalReason::ConcurrencyLimit, None));
+            return Err(exceeded(RefusalReason::ConcurrencyLimit, None));
         }
         let spacing_ms = (self.mean_call_ms / f64::from(allowed)).ceil() as u64;
         let max_ms = options.retry_after_max_ms;
-        let promise = self
-            .promises
-            .promise(now, spacing_ms, spacing_ms, max_ms, random);
-        Err(short(RefusalReason::ConcurrencyLimit, Some(promise)))
+        let retry_ms = self
+            .retry_slots
+            .retry_ms(now, spacing_ms, spacing_ms, max_ms, random);
+        Err(exceeded(RefusalReason::ConcurrencyLimit, Some(retry_ms)))
     }
 
-    /// Calls that peers said are running.
+    /// The number of running calls that peers reported.
     fn peer_running(&self) -> u32 {
         self.peers
             .values()
@@ -216,7 +217,7 @@
         now: ClockTime,
         options: &AdmissionOptions,
         random: &mut SeededRandom,
-    ) -> Result<(), LimitShort> {
+    ) -> Result<(), LimitExceeded> {
         if self.limits.requests_per_second.is_none() {
             return Ok(());
         }
@@ -224,12 +225,12 @@
         if wait_ms == 0 {
             return Ok(());
         }
-        let spacing_ms = self.request_bucket.span_ms(1.0);
+        let spacing_ms = self.request_bucket.refill_ms(1.0);
         let max_ms = options.retry_after_max_ms;
-        let promise = self
-            .promises
-            .promise(now, wait_ms, spacing_ms, max_ms, random);
-        Err(short(RefusalReason::RequestRateLimit, Some(promise)))
+        let retry_ms = self
+            .retry_slots
+            .retry_ms(now, wait_ms, spacing_ms, max_ms, random);
+        Err(exceeded(RefusalReason::RequestRateLimit, Some(retry_ms)))
     }
 
     fn check_tokens(
@@ -238,7 +239,7 @@
         cost: f64,
         options: &AdmissionOptions,
         random: &mut SeededRandom,
-    ) -> Result<(), LimitShort> {
+    ) -> Result<(), LimitExceeded> {
         if self.limits.tokens_per_minute.is_none() {
             return Ok(());
         }
@@ -246,22 +247,23 @@
         if wait_ms == 0 {
             return Ok(());
         }
-        let spacing_ms = self.token_bucket.span_ms(cost);
+        let spacing_ms = self.token_bucket.refill_ms(cost);
         let max_ms = options.retry_after_max_ms;
-        let promise = self
-            .promises
-            .promise(now, wait_ms, spacing_ms, max_ms, random);
-        Err(short(RefusalReason::TokenRateLimit, Some(promise)))
+        let retry_ms = self
+            .retry_slots
+            .retry_ms(now, wait_ms, spacing_ms, max_ms, random);
+        Err(exceeded(RefusalReason::TokenRateLimit, Some(retry_ms)))
     }
 
-    /// What a call with this bound is taken to use. Bounds are a multiple of what calls use, and
-    /// taking them whole would refuse calls that the limit has room for.
+    /// The estimated cost of a call with this bound. Bounds are a multiple of actual use, so
+    /// charging them in full would refuse calls that fit into the limit.
     fn cost_of(&self, tokens: u64) -> f64 {
         tokens as f64 * self.used_ratio.max(RATIO_MIN)
     }
 }
 
-/// This router's share: an even part of the floor, and of the rest as much as its part of demand.
+/// This router's share: an even part of the floor, and a part of the remainder proportional to its
+/// demand.
 fn share_of(own: u64, peers: u64, routers: usize, options: &AdmissionOptions) -> f64 {
     let even = 1.0 / routers.max(1) as f64;
     let total = own.saturating_add(peers);
@@ -272,8 +274,8 @@
     floor * even + (1.0 - floor) * (own as f64 / total as f64)
 }
 
-fn short(reason: RefusalReason, retry_after_ms: Option<u64>) -> LimitShort {
-    LimitShort {
+fn exceeded(reason: RefusalReason, retry_after_ms: Option<u64>) -> LimitExceeded {
+    LimitExceeded {
         reason,
         retry_after_ms,
     }
--- a/crates/beechsaddle-core/src/admission/limit_news.rs
+++ b/crates/beechsaddle-core/src/admission/limit_updates.rs
@@ -1,4 +1,4 @@
-//! The `limit_news` module provides what routers of a domain tell each other of limits in use.
+//! The `limit_updates` module provides the exchange of limit use between the routers of a domain.
 
 use super::{AdmissionGate, AdmissionOptions, LimitMeter};
 use crate::catalogue::{EntryId, EntryLimits};
@@ -7,52 +7,53 @@
 use crate::peer::LimitUse;
 
 impl AdmissionGate {
-    /// Takes a peer's use from its heartbeat. Entries that it does not name keep what it told last.
+    /// Applies a peer's use from its heartbeat. Entries that are missing from it keep their last
+    /// values.
     pub fn on_limits(&mut self, now: ClockTime, from: &RouterIncarnation, uses: &[LimitUse]) {
-        for told in uses {
-            if !self.meters.contains_key(&told.entry) {
+        for received in uses {
+            if !self.meters.contains_key(&received.entry) {
                 if self.meters.len() >= self.options.meter_limit {
                     continue;
                 }
                 let meter = LimitMeter::new(EntryLimits::default());
-                self.meters.insert(told.entry.clone(), meter);
+                self.meters.insert(received.entry.clone(), meter);
             }
-            let Some(meter) = self.meters.get_mut(&told.entry) else {
+            let Some(meter) = self.meters.get_mut(&received.entry) else {
                 continue;
             };
-            if is_nothing(told) {
+            if is_zero(received) {
                 meter.peers.remove(from);
             } else {
-                meter.peers.insert(from.clone(), (told.clone(), now));
+                meter.peers.insert(from.clone(), (received.clone(), now));
             }
         }
     }
 
-    /// What to tell in the next heartbeat. A router that uses less than its floor of a limit says
-    /// nothing of it, since its peers leave it the floor anyway; so the bytes follow the number of
-    /// entries that are near a limit, not the number of workspaces.
+    /// Returns the use to send in the next heartbeat. A router below its floor of a limit sends
+    /// nothing, since its peers leave it the floor anyway; the bytes grow with the number of
+    /// entries near a limit rather than with the number of workspaces.
     pub fn take_limits(&mut self, now: ClockTime) -> Vec<LimitUse> {
-        let names: Vec<EntryId> = self.names_in_turn();
-        let mut told = Vec::new();
+        let names: Vec<EntryId> = self.entries_from_cursor();
+        let mut updates = Vec::new();
         for entry in names {
-            if told.len() >= self.options.news_limit {
-                self.next_told = Some(entry);
-                return told;
+            if updates.len() >= self.options.update_limit {
+                self.next_update = Some(entry);
+                return updates;
             }
             let Some(meter) = self.meters.get_mut(&entry) else {
                 continue;
             };
-            if let Some(news) = meter.take_news(now, &entry, self.routers, &self.options) {
-                told.push(news);
+            if let Some(update) = meter.take_update(now, &entry, self.routers, &self.options) {
+                updates.push(update);
             }
         }
-        self.next_told = None;
-        told
+        self.next_update = None;
+        updates
     }
 
-    /// The entries from the one at which the last heartbeat was full.
-    fn names_in_turn(&self) -> Vec<EntryId> {
-        let Some(start) = &self.next_told else {
+    /// The entries in rotation, from the first that did not fit into the last heartbeat.
+    fn entries_from_cursor(&self) -> Vec<EntryId> {
+        let Some(start) = &self.next_update else {
             return self.meters.keys().cloned().collect();
         };
         let after = self.meters.range(start.clone()..);
@@ -65,7 +66,7 @@
 }
 
 impl LimitMeter {
-    fn take_news(
+    fn take_update(
         &mut self,
         now: ClockTime,
         entry: &EntryId,
@@ -82,19 +83,19 @@
                 tokens: 0,
             };
         }
-        let is_due = match &self.told {
-            None => !is_nothing(&own),
-            Some((told, _)) if is_nothing(told) && is_nothing(&own) => false,
-            Some((told, when)) => now.since(*when) >= options.refresh_ms || is_changed(told, &own),
+        let is_due = match &self.sent {
+            None => !is_zero(&own),
+            Some((sent, _)) if is_zero(sent) && is_zero(&own) => false,
+            Some((sent, when)) => now.since(*when) >= options.refresh_ms || is_changed(sent, &own),
         };
         if !is_due {
             return None;
         }
-        self.told = Some((own.clone(), now));
+        self.sent = Some((own.clone(), now));
         Some(own)
     }
 
-    /// Whether this router uses more of any limit than its peers leave it unasked.
+    /// Whether this router uses more of any limit than its floor, which peers always leave to it.
     fn is_above_floor(&self, own: &LimitUse, routers: usize, options: &AdmissionOptions) -> bool {
         let floor = options.floor_permille as f64 / 1_000.0 / routers.max(1) as f64;
         let is_above = |used: u64, limit: Option<u64>| {
@@ -110,15 +111,16 @@
     }
 }
 
-fn is_nothing(told: &LimitUse) -> bool {
-    told.running == 0 && told.held_back == 0 && told.requests == 0 && told.tokens == 0
+fn is_zero(sent: &LimitUse) -> bool {
+    sent.running == 0 && sent.held_back == 0 && sent.requests == 0 && sent.tokens == 0
 }
 
-/// Whether a use changed by more than an eighth: less moves no share by a call worth telling.
-fn is_changed(told: &LimitUse, own: &LimitUse) -> bool {
+/// Whether a use changed by more than an eighth; smaller changes do not move a share by a whole
+/// call.
+fn is_changed(sent: &LimitUse, own: &LimitUse) -> bool {
     let differs = |before: u64, after: u64| before.abs_diff(after) * 8 > before.max(after);
-    differs(u64::from(told.running), u64::from(own.running))
-        || differs(u64::from(told.held_back), u64::from(own.held_back))
-        || differs(u64::from(told.requests), u64::from(own.requests))
-        || differs(told.tokens, own.tokens)
+    differs(u64::from(sent.running), u64::from(own.running))
+        || differs(u64::from(sent.held_back), u64::from(own.held_back))
+        || differs(u64::from(sent.requests), u64::from(own.requests))
+        || differs(sent.tokens, own.tokens)
 }
--- a/crates/beechsaddle-core/src/admission/load_shedder.rs
+++ b/crates/beechsaddle-core/src/admission/load_shedder.rs
@@ -1,14 +1,14 @@
-//! The `load_shedder` module provides shedding by class, the lowest first.
+//! The `load_shedder` module provides load shedding by class, the lowest class first.
 
 use super::AdmissionOptions;
 use crate::catalogue::EntryClass;
 use crate::random::SeededRandom;
 use crate::targets::ServiceLoad;
 
-/// The least time that an overloaded router asks a caller to stay away, in milliseconds.
+/// The minimum `Retry-After` of an overloaded router before jitter, in milliseconds.
 const SHED_RETRY_MIN_MS: u64 = 500;
 
-/// The most, in milliseconds.
+/// The maximum `Retry-After` of an overloaded router before jitter, in milliseconds.
 const SHED_RETRY_MAX_MS: u64 = 30_000;
 
 /// Decides which calls are shed.
@@ -18,19 +18,19 @@
 }
 
 impl LoadShedder {
-    /// A shedder that knows no calls yet.
+    /// Creates a shedder without measured calls.
     pub fn new() -> Self {
         LoadShedder {
             mean_call_ms: 1_000.0,
         }
     }
 
-    /// Notes how long a call took.
+    /// Records the duration of a call.
     pub fn ended(&mut self, call_ms: u64) {
         self.mean_call_ms += 0.05 * (call_ms as f64 - self.mean_call_ms);
     }
 
-    /// Whether a call is shed, and then after how many milliseconds to come back.
+    /// Returns the `Retry-After` in milliseconds if the call is shed.
     pub fn shed(
         &self,
         class: EntryClass,
@@ -44,8 +44,9 @@
         if pressure < range.first {
             return None;
         }
-        // Between the two marks a growing part is shed. A single mark would let all in and keep all
-        // out by turns, and the load would swing with the delay of the reports.
+        // A growing share of calls is shed across the range. A single threshold would alternate
+        // between admitting and shedding all calls, and the load would oscillate with the delay of
+        // the reports.
         let width = range.all.saturating_sub(range.first);
         let is_all = pressure >= range.all;
         if !is_all && range.first + random.below(width) >= pressure {
@@ -57,7 +58,8 @@
     }
 }
 
-/// How near the router or the targets are to their limits, in thousandths.
+/// The load of the router or the targets relative to their limits, in thousandths; the higher of
+/// the two.
 fn pressure_of(open_calls: u32, load: &ServiceLoad, options: &AdmissionOptions) -> u64 {
     let own = u64::from(open_calls) * 1_000 / u64::from(options.open_calls.max(1));
     let room = u64::from(load.targets) * u64::from(options.waiting_per_target.max(1));
--- a/crates/beechsaddle-core/src/admission/mod.rs
+++ b/crates/beechsaddle-core/src/admission/mod.rs
@@ -1,35 +1,35 @@
 //! The `admission` module provides limits, load shedding and the retry budget.
 //!
-//! An [`AdmissionGate`] decides at once whether a call may run: there is no queue in which a call
-//! could outlive its deadline. A [`RetryPolicy`] decides whether a failed attempt is followed by
-//! another one. `docs/ROUTING.md` gives the reason and the proof of each rule.
+//! An [`AdmissionGate`] decides without queueing whether a call is admitted, so that no call waits
+//! past its deadline. A [`RetryPolicy`] decides whether a failed attempt is retried.
+//! `docs/ROUTING.md` gives the reason and the proof of each rule.
 
 mod admission_gate;
+mod admission_input;
 mod admission_options;
 mod admission_pass;
-mod call_facts;
 mod limit_meter;
-mod limit_news;
+mod limit_updates;
 mod load_shedder;
-mod promise_line;
 mod rate_bucket;
 mod retry_budget;
 mod retry_decision;
 mod retry_policy;
+mod retry_slots;
 mod share_window;
 mod window_sum;
 
 pub use admission_gate::AdmissionGate;
+pub use admission_input::AdmissionInput;
 pub use admission_options::{AdmissionOptions, ShedRange};
 pub use admission_pass::AdmissionPass;
-pub use call_facts::CallFacts;
 pub use retry_budget::RetryBudget;
 pub use retry_decision::RetryDecision;
-pub use retry_policy::{AttemptFacts, RetryOptions, RetryPolicy};
+pub use retry_policy::{FailedAttempt, RetryOptions, RetryPolicy};
 
-use limit_meter::{LimitMeter, LimitShort};
+use limit_meter::{LimitExceeded, LimitMeter};
 use load_shedder::LoadShedder;
-use promise_line::PromiseLine;
 use rate_bucket::RateBucket;
+use retry_slots::RetrySlots;
 use share_window::ShareWindow;
 use window_sum::WindowSum;
--- a/crates/beechsaddle-core/src/admission/retry_decision.rs
+++ b/crates/beechsaddle-core/src/admission/retry_decision.rs
@@ -1,19 +1,19 @@
-//! The `retry_decision` module provides what follows a failed attempt.
+//! The `retry_decision` module provides the outcome of the retry decision.
 
 use crate::refusal::CallRefusal;
 
-/// What to do after a failed attempt.
+/// The action after a failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
     /// Try another target now.
     Retry,
-    /// Give the caller this final answer.
+    /// Refuse the call.
     Refuse {
-        /// The answer.
+        /// The answer to the caller.
         refusal: CallRefusal,
-        /// Whether only the retry budget stood against another attempt.
+        /// Whether the exhausted retry budget was the only reason.
         budget_empty: bool,
     },
-    /// Bytes went to the caller already: break off the answer visibly.
+    /// Part of the answer was already sent: cut it off so that the caller notices.
     Abort,
 }
--- a/crates/beechsaddle-core/src/admission/retry_policy.rs
+++ b/crates/beechsaddle-core/src/admission/retry_policy.rs
@@ -1,4 +1,4 @@
-//! The `retry_policy` module provides whether a failed attempt is followed by another one.
+//! The `retry_policy` module provides the decision whether a failed attempt is retried.
 
 use super::{RetryBudget, RetryDecision};
 use crate::call::AttemptFailure;
@@ -9,13 +9,13 @@
 /// Settings of a [`RetryPolicy`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RetryOptions {
-    /// How many attempts a call may have in all.
+    /// The maximum number of attempts per call.
     pub attempts: u32,
-    /// Retries as a share of recent requests, in thousandths.
+    /// The maximum share of retries in recent requests, in thousandths.
     pub share_permille: u64,
-    /// Retries in ten seconds that are allowed however few requests there are.
+    /// The number of retries in ten seconds that is always allowed.
     pub floor: u64,
-    /// The least time before a caller whose attempts failed should come back, in milliseconds.
+    /// The minimum `Retry-After` for a caller whose attempts failed, in milliseconds.
     pub retry_after_ms: u64,
 }
 
@@ -30,26 +30,25 @@
     }
 }
 
-/// A failed attempt and its call.
+/// A failed attempt and the state of its call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AttemptFacts {
-    /// Why the attempt failed.
+pub struct FailedAttempt {
     pub failure: AttemptFailure,
-    /// Whether the call may be repeated.
+    /// Whether the call may be executed more than once.
     pub repeatable: bool,
-    /// Whether a byte of an answer went to the caller.
+    /// Whether any byte of an answer was sent to the caller.
     pub first_byte_sent: bool,
-    /// How many attempts were made, this one included.
+    /// The number of attempts so far, including this one.
     pub attempts: u32,
-    /// Whether an earlier attempt may have run.
+    /// Whether an earlier attempt may have been executed.
     pub may_have_run: bool,
-    /// When the caller gives up.
+    /// The time at which the caller gives up.
     pub deadline: Option<ClockTime>,
-    /// How long the first byte takes at another target, in milliseconds; zero when not known.
+    /// The expected time to the first byte at another target, in milliseconds; zero if unknown.
     pub first_byte_ms: u64,
 }
 
-/// Decides on retries of one router.
+/// Decides on the retries of one router.
 #[derive(Debug)]
 pub struct RetryPolicy {
     options: RetryOptions,
@@ -58,7 +57,7 @@
 }
 
 impl RetryPolicy {
-    /// A policy; equal seeds give equal decisions.
+    /// Creates a policy; equal seeds give equal decisions.
     pub fn new(options: RetryOptions, seed: u64) -> Self {
         RetryPolicy {
             budget: RetryBudget::new(options.share_permille, options.floor),
@@ -67,36 +66,37 @@
         }
     }
 
-    /// Notes the first attempt of a call.
+    /// Records the first attempt of a call.
     pub fn requested(&mut self, now: ClockTime) {
         self.budget.requested(now);
     }
 
-    /// What follows a failed attempt. The next attempt goes to a target that was not tried.
-    pub fn decide(&mut self, now: ClockTime, facts: &AttemptFacts) -> RetryDecision {
-        if facts.first_byte_sent {
-            // Another target's answer does not continue this one: the caller would get two halves.
+    /// Decides what follows a failed attempt. A retry goes to a target that was not tried yet.
+    pub fn decide(&mut self, now: ClockTime, attempt: &FailedAttempt) -> RetryDecision {
+        if attempt.first_byte_sent {
+            // The answer of another target would not continue this one; the caller would get two
+            // unrelated halves.
             return RetryDecision::Abort;
         }
-        if !facts.repeatable && (facts.may_have_run || !facts.failure.is_not_run()) {
-            // It may have run, and running it again could pay out twice.
-            return self.refuse(RefusalReason::OutcomeUnknown, facts, None);
+        if !attempt.repeatable && (attempt.may_have_run || !attempt.failure.is_not_run()) {
+            // The call may have been executed, and executing it again could pay out twice.
+            return self.refuse(RefusalReason::OutcomeUnknown, attempt, None);
         }
-        if facts
+        if attempt
             .deadline
-            .is_some_and(|deadline| now.plus_ms(facts.first_byte_ms) >= deadline)
+            .is_some_and(|deadline| now.plus_ms(attempt.first_byte_ms) >= deadline)
         {
-            return self.refuse(RefusalReason::DeadlineExceeded, facts, None);
+            return self.refuse(RefusalReason::DeadlineExceeded, attempt, None);
         }
         let retry_after_ms = self.retry_after_ms();
-        if facts.attempts >= self.options.attempts {
-            return self.refuse(RefusalReason::AttemptsFailed, facts, Some(retry_after_ms));
+        if attempt.attempts >= self.options.attempts {
+            return self.refuse(RefusalReason::AttemptsFailed, attempt, Some(retry_after_ms));
         }
         if self.budget.try_take(now) {
             return RetryDecision::Retry;
         }
         RetryDecision::Refuse {
-            refusal: refusal_of(RefusalReason::AttemptsFailed, facts, Some(retry_after_ms)),
+            refusal: refusal_of(RefusalReason::AttemptsFailed, attempt, Some(retry_after_ms)),
             budget_empty: true,
         }
     }
@@ -104,29 +104,30 @@
     fn refuse(
         &self,
         reason: RefusalReason,
-        facts: &AttemptFacts,
+        attempt: &FailedAttempt,
         retry_after_ms: Option<u64>,
     ) -> RetryDecision {
         RetryDecision::Refuse {
-            refusal: refusal_of(reason, facts, retry_after_ms),
+            refusal: refusal_of(reason, attempt, retry_after_ms),
             budget_empty: false,
         }
     }
 
-    /// When to come back, spread so that the callers of a failed target do not return together.
+    /// The `Retry-After` in milliseconds, with jitter so that the callers of a failed target do not
+    /// retry at the same time.
     fn retry_after_ms(&mut self) -> u64 {
         let least_ms = self.options.retry_after_ms;
         least_ms + self.random.below(least_ms + 1)
     }
 }
 
-/// A refusal that says "not run" only if no attempt can have run.
+/// Creates a refusal that states "not run" only if no attempt can have been executed.
 fn refusal_of(
     reason: RefusalReason,
-    facts: &AttemptFacts,
+    attempt: &FailedAttempt,
     retry_after_ms: Option<u64>,
 ) -> CallRefusal {
-    let is_not_run = facts.failure.is_not_run() && !facts.may_have_run;
+    let is_not_run = attempt.failure.is_not_run() && !attempt.may_have_run;
     CallRefusal {
         reason,
         ran: if is_not_run {
--- a/crates/beechsaddle-core/src/admission/share_window.rs
+++ b/crates/beechsaddle-core/src/admission/share_window.rs
@@ -1,44 +1,44 @@
-//! The `share_window` module provides a share that falls at once and rises late.
+//! The `share_window` module provides a share that falls immediately and rises with a delay.
 
 use std::collections::VecDeque;
 
 use crate::clock::ClockTime;
 
-/// How often a share is noted, in milliseconds.
+/// The sampling interval of the share, in milliseconds.
 const SAMPLE_MS: u64 = 100;
 
-/// A router's share of a limit, from zero to one: the smallest of the recent past.
+/// A router's share of a limit, from 0 to 1: the minimum over a sliding window.
 #[derive(Clone, Debug, Default)]
 pub struct ShareWindow {
     samples: VecDeque<(ClockTime, f64)>,
 }
 
 impl ShareWindow {
-    /// Notes the share that the known demand gives now, and tells the one to go by.
+    /// Records the share computed from current demand and returns the share in force.
     ///
-    /// Demand moves from one router to another. If the gaining router used its larger share before
-    /// the losing one knew, both would use the same part of the limit; the smallest of the last
-    /// `settle_ms` leaves the heartbeat time to arrive.
-    pub fn settle(&mut self, now: ClockTime, share: f64, settle_ms: u64) -> f64 {
+    /// When demand moves between routers, both would use the same part of the limit if the growing
+    /// share took effect before the other router received the update. The minimum over the last
+    /// `share_rise_delay_ms` leaves time for the heartbeat to arrive.
+    pub fn record(&mut self, now: ClockTime, share: f64, share_rise_delay_ms: u64) -> f64 {
         let is_due = self
             .samples
             .back()
-            .is_none_or(|(taken, last)| now.since(*taken) >= SAMPLE_MS || share < *last);
+            .is_none_or(|(time, last)| now.since(*time) >= SAMPLE_MS || share < *last);
         if is_due {
             self.samples.push_back((now, share));
         }
-        // The newest sample that is older than the window still held at the window's start.
+        // The newest sample older than the window was still valid at the start of the window.
         while self
             .samples
             .get(1)
-            .is_some_and(|(taken, _)| now.since(*taken) >= settle_ms)
+            .is_some_and(|(time, _)| now.since(*time) >= share_rise_delay_ms)
         {
             self.samples.pop_front();
         }
         self.current()
     }
 
-    /// The share to go by; zero before the first one is noted.
+    /// The share in force; zero before the first sample.
     pub fn current(&self) -> f64 {
         self.samples
             .iter()
--- a/crates/beechsaddle-core/src/admission/window_sum.rs
+++ b/crates/beechsaddle-core/src/admission/window_sum.rs
@@ -1,8 +1,8 @@
-//! The `window_sum` module provides sums over the recent past.
+//! The `window_sum` module provides sums over a sliding window.
 
 use crate::clock::ClockTime;
 
-/// How many slots a window has; the sum is exact to one slot.
+/// The number of slots per window; the sum is accurate to one slot.
 const SLOT_COUNT: usize = 10;
 
 /// The sum of amounts over a sliding window.
@@ -14,7 +14,7 @@
 }
 
 impl WindowSum {
-    /// An empty window over the last `span_ms` milliseconds.
+    /// Creates an empty window over the last `span_ms` milliseconds.
     pub fn new(span_ms: u64) -> Self {
         WindowSum {
             slot_ms: (span_ms / SLOT_COUNT as u64).max(1),
@@ -23,14 +23,13 @@
         }
     }
 
-    /// Adds an amount now.
     pub fn add(&mut self, now: ClockTime, amount: u64) {
         self.advance(now);
-        let place = self.place_of(self.last_slot);
-        self.slots[place] = self.slots[place].saturating_add(amount);
+        let index = self.index_of(self.last_slot);
+        self.slots[index] = self.slots[index].saturating_add(amount);
     }
 
-    /// The sum.
+    /// The sum over the window that ends now.
     pub fn sum(&mut self, now: ClockTime) -> u64 {
         self.advance(now);
         self.slots.iter().sum()
@@ -43,13 +42,13 @@
         }
         let passed = (slot - self.last_slot).min(SLOT_COUNT as u64);
         for step in 0..passed {
-            let place = self.place_of(slot - step);
-            self.slots[place] = 0;
+            let index = self.index_of(slot - step);
+            self.slots[index] = 0;
         }
         self.last_slot = slot;
     }
 
-    fn place_of(&self, slot: u64) -> usize {
+    fn index_of(&self, slot: u64) -> usize {
         (slot % SLOT_COUNT as u64) as usize
     }
 }
--- a/crates/beechsaddle-core/src/calls/desk_admission.rs
+++ b/crates/beechsaddle-core/src/calls/desk_admission.rs
@@ -4,7 +4,7 @@
 use super::call_record::{CallPhase, CallRecord, CallTerms};
 use super::call_reports::refuse;
 use super::{CallContext, CallDesk};
-use crate::admission::CallFacts;
+use crate::admission::AdmissionInput;
 use crate::call::CallArrival;
 use crate::peer::{AdmitRequest, RecordRequest};
 use crate::prelude::*;
@@ -153,10 +153,10 @@
     arrival: &CallArrival,
     terms: &'a CallTerms,
     context: &CallContext<'_>,
-) -> CallFacts<'a> {
+) -> AdmissionInput<'a> {
     let model = terms.model.as_ref().map(|model| &model.name);
     let work = terms.work(arrival);
-    CallFacts {
+    AdmissionInput {
         workspace: &terms.workspace,
         service: &terms.service,
         model: terms.model.as_deref(),
--- a/crates/beechsaddle-core/src/calls/desk_attempts.rs
+++ b/crates/beechsaddle-core/src/calls/desk_attempts.rs
@@ -3,7 +3,7 @@
 use super::call_record::{CallPhase, CallRecord, RunningAttempt};
 use super::call_reports::attempt_line;
 use super::{CallContext, CallDesk};
-use crate::admission::{AttemptFacts, RetryDecision};
+use crate::admission::{FailedAttempt, RetryDecision};
 use crate::call::{AttemptFailure, CallAction};
 use crate::prelude::*;
 use crate::report::{CounterName, ReportAction};
@@ -99,7 +99,7 @@
             .outbox
             .act(ReportAction::Count(CounterName::AttemptFailed(failure)));
         context.outbox.act(attempt_line(attempt, &running, failure));
-        let facts = AttemptFacts {
+        let facts = FailedAttempt {
             failure,
             repeatable: record.terms.repeatable,
             first_byte_sent: false,
--- a/crates/beechsaddle-core/src/members/heartbeat_plan.rs
+++ b/crates/beechsaddle-core/src/members/heartbeat_plan.rs
@@ -1,57 +1,56 @@
-//! The `heartbeat_plan` module provides who gets a heartbeat.
+//! The `heartbeat_plan` module provides the selection of heartbeat receivers.
 
 use std::collections::BTreeMap;
 
-use super::bridge_book::BridgeBook;
+use super::bridge_table::BridgeTable;
 use super::peer_contacts::{PeerContact, PeerContacts};
 use super::{MemberLiveness, MemberTable};
 use crate::hash::rendezvous_weight;
 use crate::names::{DomainName, HostName, RouterIncarnation};
 
-/// What the routers that talk to other domains are ranked by.
+/// The name under which bridges are ranked by rendezvous hashing.
 const BRIDGE_NAME: &str = "bridge";
 
-/// The epoch of a receiver that is known by its address only: whoever listens there is meant.
+/// The epoch of a receiver known only by its address: any process at that address is meant.
 pub(super) const ANY_EPOCH: u64 = 0;
 
-/// One receiver of a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct HeartbeatReceiver {
     pub router: RouterIncarnation,
     pub address: String,
-    /// Whether it is in another domain.
-    pub foreign: bool,
+    /// Whether the receiver is in another domain.
+    pub cross_domain: bool,
 }
 
-/// Picks the receivers of heartbeats.
+/// Selects the receivers of heartbeats.
 ///
-/// Within a domain everybody talks to everybody. Between domains only a few bridges do, since with
-/// hundreds of routers the heartbeats alone would use up a router's share of the network.
+/// Within a domain all routers exchange heartbeats. Between domains only a few bridges do, since
+/// with hundreds of routers heartbeats alone would use up a router's share of the network.
 #[derive(Debug)]
 pub(super) struct HeartbeatPlan<'a> {
     pub table: &'a MemberTable,
     pub contacts: &'a PeerContacts,
-    pub book: &'a BridgeBook,
+    pub bridge_table: &'a BridgeTable,
     pub bridges: usize,
-    /// Whether this router had the time to hear its domain. Before, it would take itself for the
-    /// only router there, and for a bridge.
+    /// Whether this router has been up long enough to receive heartbeats from its domain. Before
+    /// that it would find no other router and take itself for a bridge.
     pub settled: bool,
-    /// Whether routers that do not answer and other domains get one too.
+    /// Whether to include other domains and all routers that do not answer.
     pub slow: bool,
 }
 
 impl HeartbeatPlan<'_> {
-    /// All receivers.
+    /// All receivers of this heartbeat.
     pub fn receivers(&self) -> Vec<HeartbeatReceiver> {
         let mut receivers = self.live_receivers();
-        receivers.extend(self.sought_receivers());
+        receivers.extend(self.unconnected_receivers());
         if self.slow {
-            receivers.extend(self.foreign_receivers());
+            receivers.extend(self.cross_domain_receivers());
         }
         receivers
     }
 
-    /// The routers of the own domain that talk to other domains.
+    /// The bridges of the own domain.
     pub fn own_bridges(&self) -> Vec<RouterIncarnation> {
         let mut ranked = self.table.ranked(BRIDGE_NAME);
         ranked.retain(|router| self.settled || router != self.table.me());
@@ -68,34 +67,34 @@
             .map(|(router, entry)| HeartbeatReceiver {
                 router: router.clone(),
                 address: entry.address.clone(),
-                foreign: false,
+                cross_domain: false,
             })
             .collect()
     }
 
-    /// Addresses of the own domain where no live router is known. Those that were heard before and
-    /// are down get fewer heartbeats: each costs a try to connect.
-    fn sought_receivers(&self) -> Vec<HeartbeatReceiver> {
+    /// Addresses of the own domain without a known live router. Routers that were seen before and
+    /// are down get fewer heartbeats, since each costs a connection attempt.
+    fn unconnected_receivers(&self) -> Vec<HeartbeatReceiver> {
         let mut receivers = Vec::new();
-        for (host, contact) in self.contacts.joined() {
+        for (host, contact) in self.contacts.merged() {
             let own = contact.domain == *self.table.domain() && *host != self.table.me().host;
             if !own || self.table.live_on(host).is_some() {
                 continue;
             }
-            if self.slow || !self.was_heard(host) {
+            if self.slow || !self.was_seen(host) {
                 receivers.push(receiver_at(host, &contact.address, false));
             }
         }
         if self.slow {
-            receivers.extend(self.lost_receivers());
+            receivers.extend(self.unlisted_receivers());
         }
         receivers
     }
 
-    /// Routers that fell silent and are in nobody's list, as after a long cut while the platform is
-    /// away: without a try now and then both sides would wait for the other for ever.
-    fn lost_receivers(&self) -> Vec<HeartbeatReceiver> {
-        let contacts = self.contacts.joined();
+    /// Routers that are down and in no list, as after a long partition during a platform outage:
+    /// without occasional heartbeats both sides would wait for each other forever.
+    fn unlisted_receivers(&self) -> Vec<HeartbeatReceiver> {
+        let contacts = self.contacts.merged();
         self.table
             .iter()
             .filter(|(router, entry)| {
@@ -107,53 +106,55 @@
             .collect()
     }
 
-    /// A bridge talks to the bridges of each other domain; another router only answers those that
-    /// took it for one, so that they learn who is.
-    fn foreign_receivers(&self) -> Vec<HeartbeatReceiver> {
-        let bridging = self.own_bridges().contains(self.table.me());
-        if !bridging {
-            let callers = self.book.callers().iter();
+    /// Receivers in other domains. A bridge sends to the bridges of each other domain; any other
+    /// router only replies to those that took it for a bridge, so that they learn the actual
+    /// bridges.
+    fn cross_domain_receivers(&self) -> Vec<HeartbeatReceiver> {
+        let is_bridge = self.own_bridges().contains(self.table.me());
+        if !is_bridge {
+            let callers = self.bridge_table.callers().iter();
             return callers
-                .filter_map(|router| self.answer_to(router))
+                .filter_map(|router| self.reply_receiver(router))
                 .collect();
         }
         let mut receivers = Vec::new();
-        for (domain, hosts) in self.foreign_hosts() {
+        for (domain, hosts) in self.remote_hosts() {
             for (host, contact) in self.bridge_hosts(domain, hosts) {
-                receivers.push(self.foreign_receiver(host, contact));
+                receivers.push(self.cross_domain_receiver(host, contact));
             }
         }
         receivers
     }
 
-    fn answer_to(&self, router: &RouterIncarnation) -> Option<HeartbeatReceiver> {
+    fn reply_receiver(&self, router: &RouterIncarnation) -> Option<HeartbeatReceiver> {
         let address = self.table.address_of(router)?;
         Some(HeartbeatReceiver {
             router: router.clone(),
             address: address.to_string(),
-            foreign: true,
+            cross_domain: true,
         })
     }
 
-    /// The bridges that a domain announced while one of them is heard; the likely ones otherwise.
+    /// The bridges that a domain announced while at least one of them is live; otherwise the likely
+    /// ones.
     fn bridge_hosts<'h>(
         &self,
         domain: &DomainName,
         mut hosts: Vec<(&'h HostName, &'h PeerContact)>,
     ) -> Vec<(&'h HostName, &'h PeerContact)> {
-        if let Some(announced) = self.book.announced(domain) {
-            let heard = announced
+        if let Some(announced) = self.bridge_table.announced(domain) {
+            let any_live = announced
                 .iter()
                 .any(|host| self.table.live_on(host).is_some());
-            if heard {
+            if any_live {
                 hosts.retain(|(host, _)| announced.contains(*host));
                 return hosts;
             }
         }
-        self.picked_hosts(hosts)
+        self.likely_bridges(hosts)
     }
 
-    fn foreign_receiver(&self, host: &HostName, contact: &PeerContact) -> HeartbeatReceiver {
+    fn cross_domain_receiver(&self, host: &HostName, contact: &PeerContact) -> HeartbeatReceiver {
         match self.table.live_on(host) {
             Some(router) => HeartbeatReceiver {
                 router: router.clone(),
@@ -162,15 +163,15 @@
                     .address_of(router)
                     .unwrap_or(&contact.address)
                     .to_string(),
-                foreign: true,
+                cross_domain: true,
             },
             None => receiver_at(host, &contact.address, true),
         }
     }
 
-    fn foreign_hosts(&self) -> BTreeMap<&DomainName, Vec<(&HostName, &PeerContact)>> {
+    fn remote_hosts(&self) -> BTreeMap<&DomainName, Vec<(&HostName, &PeerContact)>> {
         let mut hosts: BTreeMap<&DomainName, Vec<(&HostName, &PeerContact)>> = BTreeMap::new();
-        for (host, contact) in self.contacts.joined() {
+        for (host, contact) in self.contacts.merged() {
             if contact.domain != *self.table.domain() {
                 hosts
                     .entry(&contact.domain)
@@ -181,14 +182,14 @@
         hosts
     }
 
-    /// The hosts of another domain that are likely its bridges. A host that was heard and is down
-    /// makes way for the next, unless all are down: then the domain is cut off, and the first ones
-    /// are tried until it is back.
-    fn picked_hosts<'h>(
+    /// The hosts of another domain that are likely its bridges. A host that was seen and is down is
+    /// replaced by the next, unless all are down: then the domain is partitioned, and the first
+    /// hosts are tried until it returns.
+    fn likely_bridges<'h>(
         &self,
         mut hosts: Vec<(&'h HostName, &'h PeerContact)>,
     ) -> Vec<(&'h HostName, &'h PeerContact)> {
-        let silent = |host: &HostName| self.was_heard(host) && self.table.live_on(host).is_none();
+        let silent = |host: &HostName| self.was_seen(host) && self.table.live_on(host).is_none();
         hosts.sort_by_key(|(host, _)| {
             let weight = rendezvous_weight(BRIDGE_NAME, host.as_str());
             (silent(host), std::cmp::Reverse(weight))
@@ -197,15 +198,15 @@
         hosts
     }
 
-    fn was_heard(&self, host: &HostName) -> bool {
+    fn was_seen(&self, host: &HostName) -> bool {
         self.table.iter().any(|(router, _)| router.host == *host)
     }
 }
 
-fn receiver_at(host: &HostName, address: &str, foreign: bool) -> HeartbeatReceiver {
+fn receiver_at(host: &HostName, address: &str, cross_domain: bool) -> HeartbeatReceiver {
     HeartbeatReceiver {
         router: RouterIncarnation::new(host.clone(), ANY_EPOCH),
         address: address.to_string(),
-        foreign,
+        cross_domain,
     }
 }
--- /dev/null
+++ b/crates/beechsaddle-core/src/members/heartbeat_update.rs
@@ -0,0 +1,16 @@
+//! The `heartbeat_update` module provides the parts of a heartbeat that other modules contribute.
+
+use crate::objects::FleetLayout;
+use crate::peer::{LimitUse, TargetNews};
+
+/// The parts of a heartbeat that other modules contribute.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct HeartbeatUpdate {
+    /// The catalogue revision in force at this router.
+    pub catalogue_revision: u64,
+    /// The shard counts of the fleet, if known.
+    pub layout: Option<FleetLayout>,
+    pub targets: Vec<TargetNews>,
+    /// The use of shared limits.
+    pub limits: Vec<LimitUse>,
+}
--- a/crates/beechsaddle-core/src/members/heartbeat_writer.rs
+++ b/crates/beechsaddle-core/src/members/heartbeat_writer.rs
@@ -1,61 +1,62 @@
-//! The `heartbeat_writer` module provides what a heartbeat says to one receiver.
+//! The `heartbeat_writer` module provides the content of a heartbeat for each receiver.
 
 use std::collections::BTreeMap;
 
 use super::heartbeat_plan::HeartbeatReceiver;
-use super::{HeartbeatNews, MemberLiveness, MemberTable};
+use super::{HeartbeatUpdate, MemberLiveness, MemberTable};
 use crate::clock::ClockTime;
 use crate::names::RouterIncarnation;
 use crate::peer::{LimitUse, PeerHeartbeat, RouterNews, RouterState, TargetNews};
 
-/// Writes the heartbeats of one period.
+/// Creates the heartbeats of one period.
 #[derive(Debug)]
 pub(super) struct HeartbeatWriter<'a> {
     pub table: &'a MemberTable,
-    /// Routers that were first heard a short while ago.
-    pub fresh: &'a BTreeMap<RouterIncarnation, ClockTime>,
+    /// Routers first seen a short time ago.
+    pub recent: &'a BTreeMap<RouterIncarnation, ClockTime>,
     pub bridges: Vec<RouterIncarnation>,
     pub address: &'a str,
     pub state: RouterState,
     pub sequence: u64,
-    pub news: &'a HeartbeatNews,
+    pub update: &'a HeartbeatUpdate,
 }
 
 impl HeartbeatWriter<'_> {
-    /// The heartbeat for one receiver.
+    /// Creates the heartbeat for one receiver.
     pub fn write(&self, now: ClockTime, receiver: &HeartbeatReceiver) -> PeerHeartbeat {
-        let (targets, limits) = self.shared_news(receiver);
+        let (targets, limits) = self.shared_updates(receiver);
         PeerHeartbeat {
             domain: self.table.domain().clone(),
             address: self.address.to_string(),
             sequence: self.sequence,
             state: self.state,
-            catalogue_revision: self.news.catalogue_revision,
-            layout: self.news.layout,
+            catalogue_revision: self.update.catalogue_revision,
+            layout: self.update.layout,
             targets,
             limits,
-            routers: self.router_news(now, receiver),
+            routers: self.router_updates(now, receiver),
         }
     }
 
-    /// Targets and limits are shared within a domain only.
-    fn shared_news(&self, receiver: &HeartbeatReceiver) -> (Vec<TargetNews>, Vec<LimitUse>) {
-        match receiver.foreign {
+    /// Target and limit updates, which are only sent within a domain.
+    fn shared_updates(&self, receiver: &HeartbeatReceiver) -> (Vec<TargetNews>, Vec<LimitUse>) {
+        match receiver.cross_domain {
             true => (Vec::new(), Vec::new()),
-            false => (self.news.targets.clone(), self.news.limits.clone()),
+            false => (self.update.targets.clone(), self.update.limits.clone()),
         }
     }
 
-    /// Live routers of the own domain that the receiver may not know. Another domain is told of
-    /// the bridges; a router that is new knows nobody, and nobody knows it.
-    fn router_news(&self, now: ClockTime, receiver: &HeartbeatReceiver) -> Vec<RouterNews> {
-        let receiver_fresh = self.fresh.contains_key(&receiver.router);
-        let wanted = |router: &RouterIncarnation| match receiver.foreign {
+    /// Live routers of the own domain that the receiver may not know. Another domain gets the
+    /// bridges only; within the domain, a new router gets all routers, and all routers get the new
+    /// one.
+    fn router_updates(&self, now: ClockTime, receiver: &HeartbeatReceiver) -> Vec<RouterNews> {
+        let receiver_recent = self.recent.contains_key(&receiver.router);
+        let wanted = |router: &RouterIncarnation| match receiver.cross_domain {
             true => self.bridges.contains(router),
-            false => receiver_fresh || self.fresh.contains_key(router),
+            false => receiver_recent || self.recent.contains_key(router),
         };
-        let own =
-            (receiver.foreign && self.bridges.contains(self.table.me())).then(|| self.own_news());
+        let own = (receiver.cross_domain && self.bridges.contains(self.table.me()))
+            .then(|| self.own_update());
         let others = self
             .table
             .iter()
@@ -70,18 +71,19 @@
                 domain: entry.domain.clone(),
                 address: entry.address.clone(),
                 catalogue_revision: entry.catalogue_revision,
-                age_ms: now.since(entry.heard),
+                age_ms: now.since(entry.last_seen_at),
             });
         others.chain(own).collect()
     }
 
-    /// This router as others see it; in a heartbeat to another domain it says that it is a bridge.
-    fn own_news(&self) -> RouterNews {
+    /// The entry of this router; in a heartbeat to another domain it announces this router as a
+    /// bridge.
+    fn own_update(&self) -> RouterNews {
         RouterNews {
             router: self.table.me().clone(),
             domain: self.table.domain().clone(),
             address: self.address.to_string(),
-            catalogue_revision: self.news.catalogue_revision,
+            catalogue_revision: self.update.catalogue_revision,
             age_ms: 0,
         }
     }
--- a/crates/beechsaddle-core/src/members/host_exchange.rs
+++ b/crates/beechsaddle-core/src/members/host_exchange.rs
@@ -1,8 +1,8 @@
-//! The `host_exchange` module provides the lists of hosts that a router gets from the platform or from peers, and
-//! passes on to peers that have none.
+//! The `host_exchange` module provides the host lists that a router receives from the platform or
+//! from peers and sends to peers that have none.
 
 use super::host_watch::HostUpdate;
-use super::{HostList, MemberDesk};
+use super::{HostList, MemberManager};
 use crate::action::CoreAction;
 use crate::clock::ClockTime;
 use crate::names::RouterIncarnation;
@@ -10,8 +10,8 @@
 use crate::peer::{PeerHeartbeat, PeerMessage};
 use crate::signal::CoreSignal;
 
-impl MemberDesk {
-    /// Answers a router of the own domain that has no list of hosts.
+impl MemberManager {
+    /// Sends the host list to a router of the own domain that requested it.
     pub fn answer_hosts(&self, from: &RouterIncarnation, outbox: &mut CoreOutbox) {
         let Some((version, hosts)) = self.hosts.list(self.table.domain()) else {
             return;
@@ -35,7 +35,7 @@
         });
     }
 
-    /// Takes a peer's list of the own domain's hosts, unless a newer one is known.
+    /// Applies a peer's host list of the own domain unless a newer one is known.
     pub fn on_peer_hosts(
         &mut self,
         now: ClockTime,
@@ -55,9 +55,10 @@
         );
     }
 
-    /// A router that started while the platform is away has no list of hosts, and would refuse
-    /// every call for want of a target. A peer's list lags no more than it did for the peer.
-    pub(super) fn ask_for_hosts(
+    /// Requests the host list from a peer. A router that started during a platform outage has no
+    /// list and would refuse every call for lack of targets; a peer's list is no older here than at
+    /// the peer.
+    pub(super) fn request_hosts(
         &mut self,
         now: ClockTime,
         from: &RouterIncarnation,
@@ -65,11 +66,11 @@
         outbox: &mut CoreOutbox,
     ) {
         let domain = self.table.domain();
-        let is_able = heartbeat.domain == *domain && !self.hosts.knows(domain);
-        if !is_able || now < self.hosts_asked.plus_ms(self.options.heartbeat_ms) {
+        let needs_hosts = heartbeat.domain == *domain && !self.hosts.knows(domain);
+        if !needs_hosts || now < self.hosts_requested_at.plus_ms(self.options.heartbeat_ms) {
             return;
         }
-        self.hosts_asked = now;
+        self.hosts_requested_at = now;
         outbox.act(CoreAction::Peer {
             to: from.clone(),
             address: heartbeat.address.clone(),
@@ -77,14 +78,14 @@
         });
     }
 
-    /// Takes a list of a domain's hosts over, unless a newer one is known.
+    /// Applies the host list of a domain unless a newer one is known.
     pub(super) fn on_hosts(&mut self, now: ClockTime, update: HostUpdate, outbox: &mut CoreOutbox) {
         let domain = update.domain;
         let changes = self.hosts.update(now, &domain, update.version, update.list);
         let Some(changes) = changes else {
             return;
         };
-        self.contacts.set_listed(self.hosts.joined());
+        self.contacts.set_listed(self.hosts.merged());
         outbox.signal(CoreSignal::HostsChanged);
         if domain != *self.table.domain() {
             return;
--- a/crates/beechsaddle-core/src/members/host_list.rs
+++ b/crates/beechsaddle-core/src/members/host_list.rs
@@ -1,4 +1,4 @@
-//! The `host_list` module provides the platform's lagging list of hosts.
+//! The `host_list` module provides the platform's delayed list of hosts.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,12 +7,12 @@
 /// The hosts of one domain, at `hosts/<domain>`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
-    /// The hosts; a host that is gone is no longer listed.
+    /// The hosts; a removed host is no longer listed.
     pub hosts: Vec<HostRecord>,
 }
 
 impl HostList {
-    /// Whether a target refuses orders with an old fencing number, as far as the list says.
+    /// Whether a target rejects orders with an outdated fencing number, according to the list.
     pub fn checks_fence(&self, target: &TargetName) -> bool {
         self.hosts
             .iter()
@@ -29,50 +29,46 @@
     }
 }
 
-/// One host.
+/// The record of one host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostRecord {
-    /// Its name. A target has the name of its host.
+    /// The name of the host, which is also that of its target.
     pub host: HostName,
-    /// Its domain.
     pub domain: DomainName,
-    /// Grows each time the host is replaced, also at the same name or address.
+    /// Increases each time the host is replaced, even under the same name or address.
     pub epoch: u64,
-    /// Where it listens for calls, as `address:port`.
+    /// The address for calls, as `address:port`.
     pub address: String,
-    /// What it does.
     pub role: HostRole,
-    /// Whether it is leaving.
     pub state: HostState,
 }
 
-/// What a host does.
+/// The role of a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HostRole {
-    /// It runs a router.
+    /// The host runs a router.
     Router {
-        /// Where its peers reach it, as `address:port`.
+        /// The address for peers, as `address:port`.
         peer_address: String,
-        /// Where operators reach it, as `address:port`.
+        /// The address for operators, as `address:port`.
         admin_address: String,
     },
-    /// It is a target of a service.
+    /// The host is a target of a service.
     Target {
-        /// The service.
         service: ServiceName,
-        /// Whether it refuses orders with an old fencing number.
+        /// Whether the target rejects orders with an outdated fencing number.
         checks_fence: bool,
     },
 }
 
-/// Whether a host serves.
+/// The service state of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// It serves.
+    /// Accepts calls.
     Live,
-    /// It finishes what it has and takes nothing new.
+    /// Finishes running calls and accepts no new ones.
     Leaving,
-    /// It does not answer.
+    /// Does not answer.
     Down,
 }
--- a/crates/beechsaddle-core/src/members/host_view.rs
+++ b/crates/beechsaddle-core/src/members/host_view.rs
@@ -1,4 +1,4 @@
-//! The `host_view` module provides the lists of hosts of all domains as last read.
+//! The `host_view` module provides the last known host lists of all domains.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,13 @@
 use crate::clock::ClockTime;
 use crate::names::{DomainName, HostName};
 
-/// The lists of hosts of all domains as last read from the platform.
+/// The last known host lists of all domains.
 #[derive(Debug, Default)]
 pub(super) struct HostView {
     lists: BTreeMap<DomainName, VersionedList>,
-    /// All lists in one, which other duties read.
-    joined: HostList,
-    /// When a list was first seen without a host, or with a later epoch of it.
+    /// The hosts of all lists.
+    merged: HostList,
+    /// When a host was first missing from its list or listed with a later epoch.
     replaced: BTreeMap<HostName, ClockTime>,
 }
 
@@ -22,42 +22,40 @@
     list: HostList,
 }
 
-/// What a newer list changed.
+/// The changes from one list to the next.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct HostChanges {
-    /// Hosts that were not leaving before.
+    /// Hosts that started to leave.
     pub leaving: Vec<HostName>,
 }
 
 impl HostView {
-    /// All hosts of all domains.
-    pub fn joined(&self) -> &HostList {
-        &self.joined
+    pub fn merged(&self) -> &HostList {
+        &self.merged
     }
 
-    /// Whether the list of a domain was ever read.
+    /// Whether a list of the domain was ever received.
     pub fn knows(&self, domain: &DomainName) -> bool {
         self.lists.contains_key(domain)
     }
 
-    /// The list of a domain with its version, if it was ever read.
+    /// The list of a domain with its version, if one was ever received.
     pub fn list(&self, domain: &DomainName) -> Option<(u64, &HostList)> {
         let listed = self.lists.get(domain)?;
         Some((listed.version, &listed.list))
     }
 
-    /// The record of a host.
     pub fn get(&self, domain: &DomainName, host: &HostName) -> Option<&HostRecord> {
         let listed = self.lists.get(domain)?;
         listed.list.hosts.iter().find(|record| record.host == *host)
     }
 
-    /// When a host was seen to have been replaced or taken off its list, if it was.
+    /// When a host was found replaced or unlisted, if it was.
     pub fn replaced_at(&self, host: &HostName) -> Option<ClockTime> {
         self.replaced.get(host).copied()
     }
 
-    /// Takes a list unless a newer one is known; `None` when nothing changed.
+    /// Applies a list unless a newer one is known; `None` if nothing changed.
     pub fn update(
         &mut self,
         now: ClockTime,
@@ -67,7 +65,7 @@
     ) -> Option<HostChanges> {
         let mut changes = HostChanges::default();
         if let Some(known) = self.lists.get_mut(domain) {
-            // A read that was overtaken by a watch would bring hosts back that are gone.
+            // A read that is older than a watch result would restore removed hosts.
             if version <= known.version {
                 return None;
             }
@@ -78,33 +76,33 @@
         }
         let before = self.lists.remove(domain);
         let before = before.map(|known| known.list).unwrap_or_default();
-        self.note_replaced(now, &before, &list);
+        self.record_replaced(now, &before, &list);
         for record in &list.hosts {
-            let was = before.hosts.iter().find(|old| old.host == record.host);
-            let was_leaving =
-                was.is_some_and(|old| old.epoch == record.epoch && old.state == HostState::Leaving);
+            let previous = before.hosts.iter().find(|old| old.host == record.host);
+            let was_leaving = previous
+                .is_some_and(|old| old.epoch == record.epoch && old.state == HostState::Leaving);
             if record.state == HostState::Leaving && !was_leaving {
                 changes.leaving.push(record.host.clone());
             }
         }
         self.lists
             .insert(domain.clone(), VersionedList { version, list });
-        self.join();
+        self.merge();
         Some(changes)
     }
 
-    fn note_replaced(&mut self, now: ClockTime, before: &HostList, after: &HostList) {
+    fn record_replaced(&mut self, now: ClockTime, before: &HostList, after: &HostList) {
         for old in &before.hosts {
             let new = after.hosts.iter().find(|record| record.host == old.host);
-            let lasts = new.is_some_and(|record| record.epoch <= old.epoch);
-            if !lasts {
+            let remains = new.is_some_and(|record| record.epoch <= old.epoch);
+            if !remains {
                 self.replaced.insert(old.host.clone(), now);
             }
         }
     }
 
-    fn join(&mut self) {
-        self.joined.hosts = self
+    fn merge(&mut self) {
+        self.merged.hosts = self
             .lists
             .values()
             .flat_map(|listed| listed.list.hosts.iter().cloned())
--- a/crates/beechsaddle-core/src/members/host_watch.rs
+++ b/crates/beechsaddle-core/src/members/host_watch.rs
@@ -1,4 +1,4 @@
-//! The `host_watch` module provides the reading and watching of the lists of hosts.
+//! The `host_watch` module provides the reads and watches of the host lists.
 
 use super::HostList;
 use crate::action::CoreAction;
@@ -9,22 +9,22 @@
 use crate::outbox::CoreOutbox;
 use crate::platform::{PlatformCall, PlatformDuty, PlatformReply, PlatformTicket, StoredObject};
 
-/// Where the lists of hosts are.
+/// The key prefix of the host lists.
 const HOSTS_PREFIX: &str = "hosts/";
 
-/// A watch that was not answered for so long, in milliseconds, was lost on the way: the platform
-/// answers after about 30 s at the latest.
+/// The time after which an unanswered watch counts as lost, in milliseconds; the platform answers
+/// within about 30 s.
 const WATCH_LOST_MS: u64 = 60_000;
 
-/// Reads the own domain's list, then watches the lists of all domains; one call at a time.
+/// Reads the own domain's list, then watches the lists of all domains, with one call in flight.
 #[derive(Debug)]
 pub(super) struct HostWatch {
     domain: DomainName,
     next_number: u64,
     pending: Option<PendingCall>,
     retry_at: Option<ClockTime>,
-    /// The platform's revision up to which all lists are known; zero sends all lists again.
-    watched: u64,
+    /// The platform revision up to which all lists are known; zero requests all lists again.
+    watched_revision: u64,
     backoff: RetryBackoff,
 }
 
@@ -34,7 +34,7 @@
     since: ClockTime,
 }
 
-/// A list as it came from the platform.
+/// A host list received from the platform or a peer.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct HostUpdate {
     pub domain: DomainName,
@@ -49,18 +49,17 @@
             next_number: 0,
             pending: None,
             retry_at: None,
-            watched: 0,
+            watched_revision: 0,
             backoff: RetryBackoff::new(me, HOSTS_PREFIX),
         }
     }
 
-    /// Reads the own domain's list.
     pub fn start(&mut self, now: ClockTime, outbox: &mut CoreOutbox) {
         let key = ObjectKey::new(format!("{HOSTS_PREFIX}{}", self.domain));
         self.call(now, PlatformCall::Read { key }, outbox);
     }
 
-    /// Tries again when it is time.
+    /// Restarts a lost call or retries when due.
     pub fn tick(&mut self, now: ClockTime, outbox: &mut CoreOutbox) {
         let lost = self
             .pending
@@ -72,7 +71,7 @@
         }
     }
 
-    /// Takes an outcome and gives the lists that it brought.
+    /// Handles the outcome of a call and returns the lists that it contains.
     pub fn on_platform(
         &mut self,
         now: ClockTime,
@@ -80,7 +79,7 @@
         reply: PlatformReply,
         outbox: &mut CoreOutbox,
     ) -> Vec<HostUpdate> {
-        // The answer to a call that was given up must not start a second chain of calls.
+        // The reply to an abandoned call must not start a second chain of calls.
         let awaited = self.pending.as_ref().map(|pending| pending.number);
         if awaited != Some(ticket.number) {
             return Vec::new();
@@ -96,7 +95,7 @@
                 Vec::new()
             }
             PlatformReply::Changed { objects, revision } => {
-                self.watched = self.watched.max(revision);
+                self.watched_revision = self.watched_revision.max(revision);
                 self.watch(now, outbox);
                 objects.into_iter().filter_map(read_update).collect()
             }
@@ -117,16 +116,16 @@
         }
     }
 
-    /// Whether the lists of all domains were read.
+    /// Whether the lists of all domains have been read.
     pub fn has_all(&self) -> bool {
-        self.watched > 0
+        self.watched_revision > 0
     }
 
     fn watch(&mut self, now: ClockTime, outbox: &mut CoreOutbox) {
         self.backoff.reset();
         let call = PlatformCall::Watch {
             prefix: ObjectKey::new(HOSTS_PREFIX),
-            after: self.watched,
+            after: self.watched_revision,
         };
         self.call(now, call, outbox);
     }
@@ -153,7 +152,7 @@
 
 fn read_update(stored: StoredObject) -> Option<HostUpdate> {
     let domain = stored.key.as_str().strip_prefix(HOSTS_PREFIX)?;
-    // A list that was deleted tells nothing about the hosts; the last one stays in use.
+    // A deleted list says nothing about the hosts; the last known list stays in use.
     match *stored.object? {
         PlatformObject::Hosts(list) => Some(HostUpdate {
             domain: DomainName::new(domain),
--- a/crates/beechsaddle-core/src/members/liveness_check.rs
+++ b/crates/beechsaddle-core/src/members/liveness_check.rs
@@ -1,4 +1,4 @@
-//! The `liveness_check` module provides how silent routers come to be down and gone.
+//! The `liveness_check` module provides the transitions of silent routers to down and gone.
 
 use super::host_view::HostView;
 use super::{MemberEntry, MemberLiveness, MemberOptions, MemberTable};
@@ -7,7 +7,7 @@
 use crate::outbox::CoreOutbox;
 use crate::signal::CoreSignal;
 
-/// Looks for routers that fell silent or have ended.
+/// Finds routers that became silent or have ended.
 #[derive(Debug)]
 pub(super) struct LivenessCheck<'a> {
     pub options: &'a MemberOptions,
@@ -16,19 +16,19 @@
 }
 
 impl LivenessCheck<'_> {
-    /// A router that was paused has heard nobody meanwhile and would call the whole domain down.
-    /// The pause is taken off the silence of the others: they get a full waiting time to be heard.
-    pub fn excuse_own_pause(&self, table: &mut MemberTable, last_tick: Option<ClockTime>) {
+    /// Extends the deadlines of other routers by a pause of this process. It received no heartbeats
+    /// during the pause and would otherwise mark the whole domain as down.
+    pub fn discount_own_pause(&self, table: &mut MemberTable, last_tick: Option<ClockTime>) {
         let pause_ms = last_tick.map_or(0, |last| self.now.since(last));
         if pause_ms < self.options.heartbeat_ms {
             return;
         }
         for (_, entry) in table.iter_mut() {
-            entry.heard = entry.heard.plus_ms(pause_ms).min(self.now);
+            entry.last_seen_at = entry.last_seen_at.plus_ms(pause_ms).min(self.now);
         }
     }
 
-    /// Marks and reports what changed.
+    /// Applies and reports the changes.
     pub fn run(&self, table: &mut MemberTable, outbox: &mut CoreOutbox) {
         let own = table.domain().clone();
         for (router, entry) in table.iter_mut() {
@@ -51,24 +51,24 @@
             true => self.options.down_after_ms,
             // Routers of other domains send fewer heartbeats.
             false => {
-                let periods = self.options.slow_beats.max(1);
+                let periods = self.options.slow_heartbeat_periods.max(1);
                 self.options.down_after_ms.saturating_mul(periods)
             }
         };
-        self.now.since(entry.heard) >= limit_ms
+        self.now.since(entry.last_seen_at) >= limit_ms
     }
 
-    /// A silent router has ended when the platform took its host off the list, or lists a
-    /// replacement, after the router was last heard.
+    /// A silent router has ended if the platform unlisted its host or lists a replacement after the
+    /// router was last seen.
     fn has_ended(&self, router: &RouterIncarnation, entry: &MemberEntry) -> bool {
         let replaced = self
             .hosts
             .replaced_at(&router.host)
-            .is_some_and(|time| entry.heard <= time);
-        // A host that is in no list may be so new that the list lags behind it.
+            .is_some_and(|time| entry.last_seen_at <= time);
+        // An unlisted host may be too new for the delayed list.
         let unlisted = self.hosts.knows(&entry.domain)
             && self.hosts.get(&entry.domain, &router.host).is_none()
-            && self.now.since(entry.heard) >= self.options.list_lag_ms;
+            && self.now.since(entry.last_seen_at) >= self.options.list_lag_ms;
         replaced || unlisted
     }
 }
--- a/crates/beechsaddle-core/src/members/member_desk.rs
+++ b/crates/beechsaddle-core/src/members/member_manager.rs
@@ -1,8 +1,8 @@
-//! The `member_desk` module provides the duty that keeps the member table true.
+//! The `member_manager` module provides the management of the member table.
 
 use std::collections::BTreeMap;
 
-use super::bridge_book::BridgeBook;
+use super::bridge_table::BridgeTable;
 use super::heartbeat_plan::HeartbeatPlan;
 use super::heartbeat_writer::HeartbeatWriter;
 use super::host_view::HostView;
@@ -10,7 +10,7 @@
 use super::liveness_check::LivenessCheck;
 use super::member_status::status_of;
 use super::peer_contacts::PeerContacts;
-use super::{HeartbeatNews, HostList, MemberEntry, MemberLiveness, MemberOptions, MemberTable};
+use super::{HeartbeatUpdate, HostList, MemberEntry, MemberLiveness, MemberOptions, MemberTable};
 use crate::action::CoreAction;
 use crate::clock::ClockTime;
 use crate::names::{DomainName, RouterIncarnation};
@@ -20,16 +20,16 @@
 use crate::signal::CoreSignal;
 use crate::status::PeerStatus;
 
-/// How long a router counts as new, in milliseconds: the others are told of it meanwhile, in case
-/// its address is in nobody's list yet.
-const FRESH_MS: u64 = 10_000;
+/// How long a router counts as new, in milliseconds; other routers are informed of it during this
+/// time, since its address may not be in any list yet.
+const RECENT_MS: u64 = 10_000;
 
-/// How long a router that is gone stays in the table, in milliseconds, for operators to see.
-const GONE_KEPT_MS: u64 = 600_000;
+/// How long a router that is gone stays in the table for operators, in milliseconds.
+const GONE_RETENTION_MS: u64 = 600_000;
 
-/// Keeps track of the routers and hosts that there are.
+/// Tracks the routers and hosts of the fleet.
 #[derive(Debug)]
-pub struct MemberDesk {
+pub struct MemberManager {
     pub(super) options: MemberOptions,
     address: String,
     state: RouterState,
@@ -37,62 +37,61 @@
     pub(super) hosts: HostView,
     watch: HostWatch,
     pub(super) contacts: PeerContacts,
-    bridges: BridgeBook,
-    /// When routers were first heard, for those that are new.
-    fresh: BTreeMap<RouterIncarnation, ClockTime>,
-    news: HeartbeatNews,
+    bridges: BridgeTable,
+    /// When recently added routers were first seen.
+    recent: BTreeMap<RouterIncarnation, ClockTime>,
+    update: HeartbeatUpdate,
     sequence: u64,
-    next_beat: ClockTime,
-    started: ClockTime,
+    next_heartbeat: ClockTime,
+    started_at: ClockTime,
     last_tick: Option<ClockTime>,
-    /// When a peer was last asked for the list of hosts.
-    pub(super) hosts_asked: ClockTime,
+    /// When the host list was last requested from a peer.
+    pub(super) hosts_requested_at: ClockTime,
 }
 
-impl MemberDesk {
-    /// The desk of the router `me`, whose peers reach it at `peer_address`.
+impl MemberManager {
+    /// Creates the manager of the router `me`, whose peers reach it at `peer_address`.
     pub fn new(
         options: MemberOptions,
         me: RouterIncarnation,
         domain: DomainName,
         peer_address: impl Into<String>,
     ) -> Self {
-        MemberDesk {
+        MemberManager {
             address: peer_address.into(),
             state: RouterState::Live,
             hosts: HostView::default(),
             watch: HostWatch::new(&me, domain.clone()),
             contacts: PeerContacts::new(&options.seeds),
             table: MemberTable::new(me, domain),
-            bridges: BridgeBook::default(),
-            fresh: BTreeMap::new(),
-            news: HeartbeatNews::default(),
+            bridges: BridgeTable::default(),
+            recent: BTreeMap::new(),
+            update: HeartbeatUpdate::default(),
             sequence: 0,
-            next_beat: ClockTime::ZERO,
-            started: ClockTime::ZERO,
+            next_heartbeat: ClockTime::ZERO,
+            started_at: ClockTime::ZERO,
             last_tick: None,
-            hosts_asked: ClockTime::ZERO,
+            hosts_requested_at: ClockTime::ZERO,
             options,
         }
     }
 
-    /// The routers that this one knows.
     pub fn table(&self) -> &MemberTable {
         &self.table
     }
 
-    /// The hosts of all domains, as the platform last listed them.
+    /// The hosts of all domains as last listed by the platform.
     pub fn hosts(&self) -> &HostList {
-        self.hosts.joined()
+        self.hosts.merged()
     }
 
-    /// Begins to read the list of hosts.
+    /// Starts reading the host list.
     pub fn start(&mut self, now: ClockTime, outbox: &mut CoreOutbox) {
-        self.started = now;
+        self.started_at = now;
         self.watch.start(now, outbox);
     }
 
-    /// Takes the outcome of a platform call.
+    /// Handles the outcome of a platform call.
     pub fn on_platform(
         &mut self,
         now: ClockTime,
@@ -104,13 +103,13 @@
             self.on_hosts(now, update, outbox);
         }
         if self.watch.has_all() {
-            let hosts = &self.hosts.joined().hosts;
+            let hosts = &self.hosts.merged().hosts;
             let names = hosts.iter().map(|record| record.host.clone());
             self.table.set_listed(names);
         }
     }
 
-    /// Takes a heartbeat.
+    /// Handles a heartbeat.
     pub fn on_peer(
         &mut self,
         now: ClockTime,
@@ -118,7 +117,7 @@
         heartbeat: &PeerHeartbeat,
         outbox: &mut CoreOutbox,
     ) {
-        if from.host == self.table.me().host || !self.is_news(from, heartbeat) {
+        if from.host == self.table.me().host || !self.is_newer(from, heartbeat) {
             return;
         }
         self.replace_older(from, outbox);
@@ -127,7 +126,7 @@
             .get(from)
             .is_some_and(|entry| entry.liveness == MemberLiveness::Live);
         if self.table.get(from).is_none() {
-            self.fresh.insert(from.clone(), now);
+            self.recent.insert(from.clone(), now);
         }
         let entry = entry_of(now, heartbeat);
         let liveness = entry.liveness;
@@ -140,26 +139,32 @@
             MemberLiveness::Live | MemberLiveness::Down => {}
         }
         if heartbeat.domain != *self.table.domain() {
-            self.bridges.note(from, heartbeat);
+            self.bridges.record(from, heartbeat);
         }
         self.learn_routers(now, &heartbeat.routers);
-        self.ask_for_hosts(now, from, heartbeat, outbox);
+        self.request_hosts(now, from, heartbeat, outbox);
     }
 
-    /// Whether it is time for a heartbeat.
     pub fn is_heartbeat_due(&self, now: ClockTime) -> bool {
-        now >= self.next_beat
+        now >= self.next_heartbeat
     }
 
-    /// Sends a heartbeat.
-    pub fn beat(&mut self, now: ClockTime, news: HeartbeatNews, outbox: &mut CoreOutbox) {
-        self.news = news;
-        self.next_beat = now.plus_ms(self.options.heartbeat_ms);
-        let slow = self.sequence.is_multiple_of(self.options.slow_beats.max(1));
+    /// Sends a heartbeat with the given update.
+    pub fn send_heartbeat(
+        &mut self,
+        now: ClockTime,
+        update: HeartbeatUpdate,
+        outbox: &mut CoreOutbox,
+    ) {
+        self.update = update;
+        self.next_heartbeat = now.plus_ms(self.options.heartbeat_ms);
+        let slow = self
+            .sequence
+            .is_multiple_of(self.options.slow_heartbeat_periods.max(1));
         self.send(now, slow, outbox);
     }
 
-    /// Notices routers that fell silent.
+    /// Detects silent routers and advances the host watch.
     pub fn tick(&mut self, now: ClockTime, outbox: &mut CoreOutbox) {
         self.watch.tick(now, outbox);
         self.contacts.expire(now);
@@ -168,34 +173,35 @@
             hosts: &self.hosts,
             now,
         };
-        check.excuse_own_pause(&mut self.table, self.last_tick);
+        check.discount_own_pause(&mut self.table, self.last_tick);
         check.run(&mut self.table, outbox);
         self.last_tick = Some(now);
-        self.table.forget_gone(now, GONE_KEPT_MS);
-        self.fresh.retain(|_, heard| now.since(*heard) < FRESH_MS);
+        self.table.forget_gone(now, GONE_RETENTION_MS);
+        self.recent
+            .retain(|_, first_seen_at| now.since(*first_seen_at) < RECENT_MS);
     }
 
-    /// Tells everybody that this router takes nothing new.
+    /// Announces to all receivers that this router accepts nothing new.
     pub fn drain(&mut self, now: ClockTime, outbox: &mut CoreOutbox) {
         self.state = RouterState::Draining;
         self.table.set_draining();
         self.send(now, true, outbox);
     }
 
-    /// Tells everybody that this router has handed over everything and exits.
+    /// Announces to all receivers that this router has handed over its work and exits.
     pub fn leave(&mut self, now: ClockTime, outbox: &mut CoreOutbox) {
         self.state = RouterState::Left;
         self.send(now, true, outbox);
     }
 
-    /// What operators are told of other routers.
+    /// The status of other routers for operators.
     pub fn status(&self, now: ClockTime) -> Vec<PeerStatus> {
         status_of(&self.table, now)
     }
 
-    /// A heartbeat that was overtaken or doubled would make a router look alive that is not, and
-    /// one of an earlier life would replace its successor.
-    fn is_news(&self, from: &RouterIncarnation, heartbeat: &PeerHeartbeat) -> bool {
+    /// Whether a heartbeat is newer than the known state. A reordered or duplicate one would make a
+    /// dead router look live, and one of an earlier incarnation would replace its successor.
+    fn is_newer(&self, from: &RouterIncarnation, heartbeat: &PeerHeartbeat) -> bool {
         if self.table.is_outdated(from) {
             return false;
         }
@@ -205,7 +211,7 @@
         }
     }
 
-    /// A later life on the same host is proof that the earlier ones have ended.
+    /// A later incarnation on the same host proves that the earlier ones have ended.
     fn replace_older(&mut self, from: &RouterIncarnation, outbox: &mut CoreOutbox) {
         for (router, entry) in self.table.iter_mut() {
             let older = router.host == from.host && router.epoch < from.epoch;
@@ -217,15 +223,16 @@
     }
 
     fn learn_routers(&mut self, now: ClockTime, routers: &[RouterNews]) {
-        for news in routers {
-            // Bridges of other domains stay known by what is said of them for as long as it is.
-            let heard = news.domain == *self.table.domain()
-                && self.table.live_on(&news.router.host).is_some();
-            let known = heard
-                || news.router.host == self.table.me().host
-                || self.table.is_gone(&news.router);
+        for update in routers {
+            // Bridges of other domains stay known through indirect reports as long as these
+            // continue.
+            let is_connected = update.domain == *self.table.domain()
+                && self.table.live_on(&update.router.host).is_some();
+            let known = is_connected
+                || update.router.host == self.table.me().host
+                || self.table.is_gone(&update.router);
             if !known {
-                self.contacts.note_hearsay(now, news);
+                self.contacts.record_indirect(now, update);
             }
         }
     }
@@ -235,19 +242,19 @@
         let plan = HeartbeatPlan {
             table: &self.table,
             contacts: &self.contacts,
-            book: &self.bridges,
+            bridge_table: &self.bridges,
             bridges: self.options.bridges,
-            settled: now.since(self.started) >= self.options.down_after_ms,
+            settled: now.since(self.started_at) >= self.options.down_after_ms,
             slow,
         };
         let writer = HeartbeatWriter {
             table: &self.table,
-            fresh: &self.fresh,
+            recent: &self.recent,
             bridges: plan.own_bridges(),
             address: &self.address,
             state: self.state,
             sequence: self.sequence,
-            news: &self.news,
+            update: &self.update,
         };
         for receiver in plan.receivers() {
             let heartbeat = writer.write(now, &receiver);
@@ -274,7 +281,7 @@
         state: heartbeat.state,
         liveness,
         catalogue_revision: heartbeat.catalogue_revision,
-        heard: now,
+        last_seen_at: now,
         sequence: heartbeat.sequence,
     }
 }
--- a/crates/beechsaddle-core/src/members/member_options.rs
+++ b/crates/beechsaddle-core/src/members/member_options.rs
@@ -2,33 +2,31 @@
 
 use crate::names::{DomainName, HostName};
 
-/// A router to begin with while the platform is away.
+/// A router known from the settings, for a start during a platform outage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeedPeer {
-    /// Its host.
     pub host: HostName,
-    /// Its domain.
     pub domain: DomainName,
-    /// Where its peers reach it, as `address:port`.
+    /// The address for peers, as `address:port`.
     pub address: String,
 }
 
 /// The settings of membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberOptions {
-    /// How often a heartbeat is sent, in milliseconds.
+    /// The heartbeat interval, in milliseconds.
     pub heartbeat_ms: u64,
-    /// A router that was not heard for so long, in milliseconds, is down.
+    /// The time since the last heartbeat after which a router is down, in milliseconds.
     pub down_after_ms: u64,
-    /// How many routers of a domain talk to each other domain.
+    /// The number of bridges per domain.
     pub bridges: usize,
-    /// How many heartbeat periods pass between two heartbeats to a router of another domain or to
-    /// one that does not answer.
-    pub slow_beats: u64,
-    /// A router that is down and was never listed is gone after so long, in milliseconds: more than
-    /// the platform's list lags.
+    /// The number of heartbeat periods between two heartbeats to a router that is in another domain
+    /// or does not answer.
+    pub slow_heartbeat_periods: u64,
+    /// The time after which a router that is down and unlisted is gone, in milliseconds; longer
+    /// than the delay of the platform's list.
     pub list_lag_ms: u64,
-    /// Routers to begin with.
+    /// The routers known from the settings.
     pub seeds: Vec<SeedPeer>,
 }
 
@@ -38,7 +36,7 @@
             heartbeat_ms: 1_000,
             down_after_ms: 2_500,
             bridges: 2,
-            slow_beats: 3,
+            slow_heartbeat_periods: 3,
             list_lag_ms: 60_000,
             seeds: Vec::new(),
         }
--- a/crates/beechsaddle-core/src/members/member_table.rs
+++ b/crates/beechsaddle-core/src/members/member_table.rs
@@ -1,4 +1,4 @@
-//! The `member_table` module provides the routers that this one knows and how alive they are.
+//! The `member_table` module provides the known routers and their liveness.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,51 +7,49 @@
 use crate::names::{DomainName, HostName, RouterIncarnation};
 use crate::peer::RouterState;
 
-/// How alive a router is to this one.
+/// The liveness of a router as seen by this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberLiveness {
-    /// Heard of lately.
+    /// Seen recently.
     Live,
-    /// Not heard of for a while: dead, frozen or cut off.
+    /// Not seen for a while: dead, frozen or partitioned.
     Down,
-    /// Its process is known to have ended.
+    /// Known to have ended.
     Gone,
 }
 
-/// A router as this one knows it.
+/// A router as seen by this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberEntry {
-    /// Its domain.
     pub domain: DomainName,
-    /// Where its peers reach it.
+    /// The address for peers.
     pub address: String,
-    /// What it says of itself.
+    /// The state announced by the router.
     pub state: RouterState,
-    /// How alive it is.
     pub liveness: MemberLiveness,
-    /// The catalogue revision in force there.
+    /// The catalogue revision in force at the router.
     pub catalogue_revision: u64,
-    /// When it was last heard of.
-    pub heard: ClockTime,
-    /// Its last heartbeat.
+    /// When the last heartbeat arrived.
+    pub last_seen_at: ClockTime,
+    /// The number of the last heartbeat.
     pub sequence: u64,
 }
 
-/// The routers that this one knows.
+/// The routers known to this one.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     me: RouterIncarnation,
     domain: DomainName,
     draining: bool,
     members: BTreeMap<RouterIncarnation, MemberEntry>,
-    /// The latest epoch that each host was heard with.
+    /// The latest known epoch of each host.
     latest: BTreeMap<HostName, u64>,
-    /// The hosts that the platform lists, once the lists of all domains were read.
+    /// The hosts listed by the platform, once the lists of all domains have been read.
     listed: Option<BTreeSet<HostName>>,
 }
 
 impl MemberTable {
-    /// A table that knows only this router.
+    /// Creates a table with only this router.
     pub fn new(me: RouterIncarnation, domain: DomainName) -> Self {
         MemberTable {
             me,
@@ -63,36 +61,32 @@
         }
     }
 
-    /// This router.
     pub fn me(&self) -> &RouterIncarnation {
         &self.me
     }
 
-    /// This router's domain.
     pub fn domain(&self) -> &DomainName {
         &self.domain
     }
 
-    /// The entry of another router.
+    /// The entry of another router, if known.
     pub fn get(&self, router: &RouterIncarnation) -> Option<&MemberEntry> {
         self.members.get(router)
     }
 
-    /// Where a router's peers reach it.
+    /// The address for peers of another router, if known.
     pub fn address_of(&self, router: &RouterIncarnation) -> Option<&str> {
         self.members.get(router).map(|entry| entry.address.as_str())
     }
 
-    /// Sets or replaces the entry of another router.
     pub fn insert(&mut self, router: RouterIncarnation, entry: MemberEntry) {
         let latest = self.latest.entry(router.host.clone()).or_default();
         *latest = router.epoch.max(*latest);
         self.members.insert(router, entry);
     }
 
-    /// Whether a later life of the router's host was heard: the sender of a message is then a
-    /// process that no longer exists, or a frozen one that was replaced, and the message is to be
-    /// dropped.
+    /// Whether a later incarnation on the router's host is known. The sender is then a process that
+    /// no longer exists or a frozen one that was replaced, and its messages must be dropped.
     pub fn is_outdated(&self, router: &RouterIncarnation) -> bool {
         if router.host == self.me.host {
             return router.epoch < self.me.epoch;
@@ -111,13 +105,14 @@
         left || self.is_outdated(router)
     }
 
-    /// Whether the platform lists a host in no domain, as far as its lists were read; `false` while one was not.
+    /// Whether no list of the platform contains the host; `false` until the lists of all domains
+    /// have been read.
     pub fn is_unlisted(&self, host: &HostName) -> bool {
         let listed = self.listed.as_ref();
         listed.is_some_and(|listed| !listed.contains(host))
     }
 
-    /// Whether the platform's lists of all domains were read.
+    /// Whether the lists of all domains have been read.
     pub fn knows_hosts(&self) -> bool {
         self.listed.is_some()
     }
@@ -141,11 +136,11 @@
         self.members.iter_mut()
     }
 
-    /// Forgets routers that have been gone for longer than `span_ms`. The latest epoch of their
-    /// host stays known, so that a late message of theirs is still dropped.
+    /// Removes routers that have been gone for longer than `span_ms`. The latest epoch of each host
+    /// is retained, so that their late messages are still dropped.
     pub(super) fn forget_gone(&mut self, now: ClockTime, span_ms: u64) {
         self.members.retain(|_, entry| {
-            entry.liveness != MemberLiveness::Gone || now.since(entry.heard) < span_ms
+            entry.liveness != MemberLiveness::Gone || now.since(entry.last_seen_at) < span_ms
         });
     }
 
@@ -154,13 +149,14 @@
         self.members.iter()
     }
 
-    /// The live routers of the own domain, this one included unless it drains, best first for
-    /// `name` by rendezvous hashing. Two routers may disagree; no safety property rests on it.
+    /// The live routers of the own domain in rendezvous order for `name`, the best first, including
+    /// this one unless it drains. Two routers may disagree; no safety property depends on the
+    /// order.
     pub fn ranked(&self, name: &str) -> Vec<RouterIncarnation> {
         let mut ranked: Vec<(u64, RouterIncarnation)> = self
             .members
             .iter()
-            .filter(|(_, entry)| self.takes_work(entry))
+            .filter(|(_, entry)| self.accepts_work(entry))
             .map(|(router, _)| router)
             .chain((!self.draining).then_some(&self.me))
             .map(|router| {
@@ -174,7 +170,8 @@
         ranked.into_iter().map(|(_, router)| router).collect()
     }
 
-    /// The router of the own domain that is picked for `name`; this one when it knows no other.
+    /// The first router of the own domain in rendezvous order for `name`; this one if no other is
+    /// known.
     pub fn picked_for(&self, name: &str) -> RouterIncarnation {
         self.ranked(name)
             .into_iter()
@@ -182,12 +179,12 @@
             .unwrap_or_else(|| self.me.clone())
     }
 
-    /// Marks this router as draining, so that it is picked for nothing new.
+    /// Marks this router as draining, so that it is no longer selected for new work.
     pub fn set_draining(&mut self) {
         self.draining = true;
     }
 
-    fn takes_work(&self, entry: &MemberEntry) -> bool {
+    fn accepts_work(&self, entry: &MemberEntry) -> bool {
         entry.domain == self.domain
             && entry.state == RouterState::Live
             && entry.liveness == MemberLiveness::Live
--- a/crates/beechsaddle-core/src/members/mod.rs
+++ b/crates/beechsaddle-core/src/members/mod.rs
@@ -1,25 +1,25 @@
-//! The `members` module provides which routers and targets exist and which of them are alive.
+//! The `members` module provides the known routers and targets and their liveness.
 //!
-//! The platform's lagging list says which hosts there are; heartbeats say which of them live.
-//! Nothing here is safe to rest a budget on: two routers may see two memberships at any moment.
+//! The platform's delayed list defines which hosts exist; heartbeats show which are live. No budget
+//! may depend on this view: two routers may see different members at any time.
 
-mod bridge_book;
-mod heartbeat_news;
+mod bridge_table;
 mod heartbeat_plan;
+mod heartbeat_update;
 mod heartbeat_writer;
 mod host_exchange;
 mod host_list;
 mod host_view;
 mod host_watch;
 mod liveness_check;
-mod member_desk;
+mod member_manager;
 mod member_options;
 mod member_status;
 mod member_table;
 mod peer_contacts;
 
-pub use heartbeat_news::HeartbeatNews;
+pub use heartbeat_update::HeartbeatUpdate;
 pub use host_list::{HostList, HostRecord, HostRole, HostState};
-pub use member_desk::MemberDesk;
+pub use member_manager::MemberManager;
 pub use member_options::{MemberOptions, SeedPeer};
 pub use member_table::{MemberEntry, MemberLiveness, MemberTable};
--- a/crates/beechsaddle-core/src/members/peer_contacts.rs
+++ b/crates/beechsaddle-core/src/members/peer_contacts.rs
@@ -1,4 +1,4 @@
-//! The `peer_contacts` module provides addresses at which routers may be found.
+//! The `peer_contacts` module provides the addresses at which routers may be reached.
 
 use std::collections::BTreeMap;
 
@@ -7,24 +7,25 @@
 use crate::names::{DomainName, HostName};
 use crate::peer::RouterNews;
 
-/// Word of a router by others is forgotten after so long, in milliseconds, unless it is repeated.
-const HEARSAY_MS: u64 = 60_000;
+/// How long an indirect report of a router is retained without being repeated, in milliseconds.
+const INDIRECT_RETENTION_MS: u64 = 60_000;
 
-/// Where a router may be found; which life of it answers is known only once it was heard.
+/// An address at which a router may be reached; its incarnation is unknown until it sends a
+/// heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct PeerContact {
     pub domain: DomainName,
     pub address: String,
-    /// When it is forgotten; `None` for seeds and listed hosts.
-    pub expires: Option<ClockTime>,
+    /// The expiry of an indirect report; `None` for seeds and listed hosts.
+    pub expires_at: Option<ClockTime>,
 }
 
-/// Addresses at which routers may be found: from settings, from the platform, from other routers.
+/// Addresses at which routers may be reached, from settings, the platform and other routers.
 #[derive(Debug)]
 pub(super) struct PeerContacts {
     seeds: BTreeMap<HostName, PeerContact>,
     listed: BTreeMap<HostName, PeerContact>,
-    hearsay: BTreeMap<HostName, PeerContact>,
+    indirect: BTreeMap<HostName, PeerContact>,
 }
 
 impl PeerContacts {
@@ -33,18 +34,18 @@
             let contact = PeerContact {
                 domain: seed.domain.clone(),
                 address: seed.address.clone(),
-                expires: None,
+                expires_at: None,
             };
             (seed.host.clone(), contact)
         });
         PeerContacts {
             seeds: seeds.collect(),
             listed: BTreeMap::new(),
-            hearsay: BTreeMap::new(),
+            indirect: BTreeMap::new(),
         }
     }
 
-    /// Replaces what the platform lists.
+    /// Replaces the contacts listed by the platform.
     pub fn set_listed(&mut self, list: &HostList) {
         self.listed.clear();
         for record in &list.hosts {
@@ -53,7 +54,7 @@
                     let contact = PeerContact {
                         domain: record.domain.clone(),
                         address: peer_address.clone(),
-                        expires: None,
+                        expires_at: None,
                     };
                     self.listed.insert(record.host.clone(), contact);
                 }
@@ -62,29 +63,29 @@
         }
     }
 
-    /// Notes what another router says of a third.
-    pub fn note_hearsay(&mut self, now: ClockTime, news: &RouterNews) {
+    /// Records another router's report of a third one.
+    pub fn record_indirect(&mut self, now: ClockTime, update: &RouterNews) {
         let contact = PeerContact {
-            domain: news.domain.clone(),
-            address: news.address.clone(),
-            expires: Some(now.plus_ms(HEARSAY_MS)),
+            domain: update.domain.clone(),
+            address: update.address.clone(),
+            expires_at: Some(now.plus_ms(INDIRECT_RETENTION_MS)),
         };
-        self.hearsay.insert(news.router.host.clone(), contact);
+        self.indirect.insert(update.router.host.clone(), contact);
     }
 
-    /// Forgets old hearsay.
+    /// Removes expired indirect reports.
     pub fn expire(&mut self, now: ClockTime) {
-        self.hearsay
-            .retain(|_, contact| contact.expires.is_none_or(|time| now < time));
+        self.indirect
+            .retain(|_, contact| contact.expires_at.is_none_or(|time| now < time));
     }
 
-    /// One contact for each host; other routers know better than the list, which lags, and the list
-    /// knows better than the settings.
-    pub fn joined(&self) -> BTreeMap<&HostName, &PeerContact> {
-        let mut joined = BTreeMap::new();
-        for source in [&self.seeds, &self.listed, &self.hearsay] {
-            joined.extend(source);
+    /// One contact per host; indirect reports take precedence over the delayed list, and the list
+    /// over the settings.
+    pub fn merged(&self) -> BTreeMap<&HostName, &PeerContact> {
+        let mut merged = BTreeMap::new();
+        for source in [&self.seeds, &self.listed, &self.indirect] {
+            merged.extend(source);
         }
-        joined
+        merged
     }
 }
--- a/crates/beechsaddle-core/src/router/core_inputs.rs
+++ b/crates/beechsaddle-core/src/router/core_inputs.rs
@@ -90,7 +90,7 @@
         outbox: &mut CoreOutbox,
     ) {
         if heartbeat.domain == *self.members.table().domain() {
-            self.targets.on_news(now, from, &heartbeat.targets);
+            self.targets.on_updates(now, from, &heartbeat.targets);
             self.gate.on_limits(now, from, &heartbeat.limits);
         }
         self.members.on_peer(now, from, &heartbeat, outbox);
--- a/crates/beechsaddle-core/src/router/router_core.rs
+++ b/crates/beechsaddle-core/src/router/router_core.rs
@@ -6,7 +6,7 @@
 use crate::call::{CallAction, CallEvent};
 use crate::calls::{CallContext, CallDesk};
 use crate::catalogue::CatalogueDesk;
-use crate::members::{HeartbeatNews, MemberDesk};
+use crate::members::{HeartbeatUpdate, MemberManager};
 use crate::money::MoneyDesk;
 use crate::once::OnceDesk;
 use crate::orders::OrderDesk;
@@ -40,7 +40,7 @@
     pub(super) calls: CallDesk,
     pub(super) money: MoneyDesk,
     pub(super) once: OnceDesk,
-    pub(super) members: MemberDesk,
+    pub(super) members: MemberManager,
     pub(super) catalogue: CatalogueDesk,
     pub(super) targets: TargetTable,
     pub(super) gate: AdmissionGate,
@@ -61,7 +61,7 @@
             calls: CallDesk::new(options.calls),
             money: MoneyDesk::new(options.money, me.clone()),
             once: OnceDesk::new(options.once, me.clone()),
-            members: MemberDesk::new(
+            members: MemberManager::new(
                 options.members,
                 me.clone(),
                 domain.clone(),
@@ -160,14 +160,14 @@
         let members = self.members.table();
         self.orders
             .tick(now, members, self.catalogue.view(), outbox);
-        if self.members.is_heartbeat_due(now) || self.targets.urgent_news() {
-            let news = HeartbeatNews {
+        if self.members.is_heartbeat_due(now) || self.targets.has_urgent_update() {
+            let news = HeartbeatUpdate {
                 catalogue_revision: self.catalogue.view().revision(),
                 layout: self.layout.known().copied(),
-                targets: self.targets.take_news(now),
+                targets: self.targets.take_updates(now),
                 limits: self.gate.take_limits(now),
             };
-            self.members.beat(now, news, outbox);
+            self.members.send_heartbeat(now, news, outbox);
         }
         self.members.tick(now, outbox);
         self.report_gauges(now, outbox);
--- a/crates/beechsaddle-core/src/targets/call_work.rs
+++ b/crates/beechsaddle-core/src/targets/call_work.rs
@@ -1,10 +1,9 @@
-//! The `call_work` module provides how much work a call is expected to be.
+//! The `call_work` module provides the expected work of a call.
 
-/// The expected work of a call, in tokens; zeros for a plain service.
+/// The expected work of a call, in tokens; zero for a plain service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallWork {
-    /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens to be generated.
+    /// Tokens expected to be generated.
     pub output_tokens: u64,
 }
--- a/crates/beechsaddle-core/src/targets/choice_policy.rs
+++ b/crates/beechsaddle-core/src/targets/choice_policy.rs
@@ -1,14 +1,14 @@
-//! The `choice_policy` module provides the ways to choose among the targets that may serve a call.
+//! The `choice_policy` module provides the policies for choosing a target.
 
-/// How a target is chosen among those that may serve a call.
+/// How a target is chosen among the candidates for a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ChoicePolicy {
-    /// Engines by the expected time to the first token, cached prefixes counted in; plain services
-    /// by the fewest calls in flight of two drawn at random.
+    /// Chooses engines by the expected time to first token, including cached prefixes, and plain
+    /// services by the fewer calls in flight of two random candidates.
     #[default]
     Adaptive,
-    /// The fewest own calls in flight.
+    /// Chooses the target with the fewest calls in flight from this router.
     LeastInFlight,
-    /// Any, each with the same probability.
+    /// Chooses a random target with uniform probability.
     Random,
 }
--- a/crates/beechsaddle-core/src/targets/load_estimate.rs
+++ b/crates/beechsaddle-core/src/targets/load_estimate.rs
@@ -1,41 +1,42 @@
-//! The `load_estimate` module provides how busy a target is now, from late reports and own calls.
+//! The `load_estimate` module provides the current load of a target, estimated from delayed reports
+//! and this router's own calls.
 
 use std::collections::VecDeque;
 
 use crate::clock::ClockTime;
 use crate::target::LoadReport;
 
-/// The time constant over which reports and own calls are averaged, in milliseconds. It is of the
-/// order of the largest report lag, so that the lag cancels out of their difference.
-const AVERAGE_MS: f64 = 2_000.0;
+/// The time constant for averaging reports and own calls, in milliseconds. It is of the order of
+/// the largest report delay, so that the delay cancels out in their difference.
+const AVERAGING_MS: f64 = 2_000.0;
 
-/// The weight of the newest call in averages over calls.
+/// The weight of the newest call in exponential averages over calls.
 const CALL_WEIGHT: f64 = 0.1;
 
-/// The prompt tokens that a waiting call of another router is taken for until own calls were sent.
-const USUAL_UNCACHED_TOKENS: f64 = 500.0;
+/// The prompt tokens assumed for a waiting call of another router before this router has sent any.
+const DEFAULT_UNCACHED_TOKENS: f64 = 500.0;
 
-/// The time to a first token that means start from, in milliseconds.
-const USUAL_FIRST_MS: f64 = 100.0;
+/// The initial value of the mean times to first token, in milliseconds.
+const DEFAULT_FIRST_TOKEN_MS: f64 = 100.0;
 
-/// The bounds of a single measured slowness, so that one stalled call does not decide alone.
-const SLOWNESS_MIN: f64 = 0.05;
-const SLOWNESS_MAX: f64 = 20.0;
+/// The bounds of a measured slowdown, so that a single stalled call does not dominate the mean.
+const SLOWDOWN_MIN: f64 = 0.05;
+const SLOWDOWN_MAX: f64 = 20.0;
 
-/// A call that was sent and has not given its first byte.
+/// A call that was sent and has not returned its first byte.
 #[derive(Clone, Copy, Debug)]
 struct WaitingCall {
     uncached_tokens: u64,
     expected_ms: f64,
 }
 
-/// How busy one target is.
+/// The estimated load of one target.
 ///
-/// A report tells all calls of all routers, but as they were up to seconds ago. Own calls are known
-/// exactly. The calls of others are taken as the averaged report less the averaged own calls: in the
-/// difference the lag cancels out as long as load changes slowly. The estimate is that plus the own
-/// calls of this moment, so that a router never piles calls onto a target which it has just filled
-/// and whose report still says idle.
+/// A report covers the calls of all routers, but is up to seconds old, while own calls are known
+/// exactly. The calls of other routers are estimated as the averaged report minus the averaged own
+/// calls; the delay cancels out in the difference while load changes slowly. Adding the current own
+/// calls keeps a router from overloading a target that it has just filled and whose last report
+/// still shows it idle.
 #[derive(Debug, Default)]
 pub struct LoadEstimate {
     in_flight: u32,
@@ -45,61 +46,61 @@
     average_running: f64,
     average_waiting: f64,
     average_own_waiting: f64,
-    reported: bool,
-    updated: ClockTime,
+    has_report: bool,
+    updated_at: ClockTime,
     mean_uncached: f64,
-    mean_seen_ms: f64,
+    mean_observed_ms: f64,
     mean_expected_ms: f64,
-    slowness: f64,
+    slowdown: f64,
     samples: u32,
 }
 
 impl LoadEstimate {
-    /// The estimate for a target that nothing is known of.
+    /// Creates the estimate of a target without reports or calls.
     pub fn new() -> Self {
         LoadEstimate {
-            slowness: 1.0,
-            mean_seen_ms: USUAL_FIRST_MS,
-            mean_expected_ms: USUAL_FIRST_MS,
-            mean_uncached: USUAL_UNCACHED_TOKENS,
+            slowdown: 1.0,
+            mean_observed_ms: DEFAULT_FIRST_TOKEN_MS,
+            mean_expected_ms: DEFAULT_FIRST_TOKEN_MS,
+            mean_uncached: DEFAULT_UNCACHED_TOKENS,
             ..LoadEstimate::default()
         }
     }
 
-    /// Own calls that run there.
+    /// Calls of this router in flight at the target.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// The last report.
+    /// The last load report.
     pub fn report(&self) -> LoadReport {
         self.report
     }
 
-    /// How many times longer first tokens take than expected; one until measured.
-    pub fn slowness(&self) -> f64 {
-        self.slowness
+    /// The measured time to first token relative to the expected one; 1.0 until measured.
+    pub fn slowdown(&self) -> f64 {
+        self.slowdown
     }
 
-    /// How many first tokens were measured.
+    /// The number of measured first tokens.
     pub fn samples(&self) -> u32 {
         self.samples
     }
 
-    /// Calls of all routers that are believed to run there.
+    /// The estimated number of calls of all routers at the target.
     pub fn calls(&self) -> f64 {
         let others = self.average_running + self.average_waiting - self.average_own;
         f64::from(self.in_flight) + others.max(0.0)
     }
 
-    /// Prompt tokens that are believed to wait there for being read.
+    /// The estimated number of prompt tokens waiting for prefill at the target.
     pub fn waiting_tokens(&self) -> f64 {
         let own: u64 = self.waiting.iter().map(|call| call.uncached_tokens).sum();
         let others = self.average_waiting - self.average_own_waiting;
         own as f64 + others.max(0.0) * self.mean_uncached
     }
 
-    /// An own call was sent.
+    /// Records that this router sent a call.
     pub fn started(&mut self, now: ClockTime, uncached_tokens: u64, expected_ms: f64) {
         self.advance(now);
         self.in_flight += 1;
@@ -110,77 +111,80 @@
         self.mean_uncached += CALL_WEIGHT * (uncached_tokens as f64 - self.mean_uncached);
     }
 
-    /// An own call gave its first byte after `latency_ms`.
+    /// Records the first byte of an own call after `latency_ms`.
     pub fn first_byte(&mut self, now: ClockTime, latency_ms: u64) {
         self.advance(now);
-        // Engines read prompts in the order of arrival, so that the oldest waiting call is the one.
+        // Engines process prompts in order of arrival, so the first byte belongs to the oldest
+        // waiting call.
         let Some(call) = self.waiting.pop_front() else {
             return;
         };
         if call.expected_ms <= 0.0 {
             return;
         }
-        // The ratio of means, not the mean of ratios: a short prompt that waits a little has a large
-        // ratio and says little about speed.
+        // Takes the ratio of means rather than the mean of ratios: a short prompt that waits
+        // briefly has a large ratio but says little about speed.
         let weight = CALL_WEIGHT.max(1.0 / f64::from(self.samples + 2));
-        let most_ms = call.expected_ms * SLOWNESS_MAX;
-        let seen_ms = (latency_ms as f64).min(most_ms);
-        self.mean_seen_ms += weight * (seen_ms - self.mean_seen_ms);
+        let max_ms = call.expected_ms * SLOWDOWN_MAX;
+        let observed_ms = (latency_ms as f64).min(max_ms);
+        self.mean_observed_ms += weight * (observed_ms - self.mean_observed_ms);
         self.mean_expected_ms += weight * (call.expected_ms - self.mean_expected_ms);
-        self.slowness = (self.mean_seen_ms / self.mean_expected_ms).max(SLOWNESS_MIN);
+        self.slowdown = (self.mean_observed_ms / self.mean_expected_ms).max(SLOWDOWN_MIN);
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// An own call ended or failed.
+    /// Records that an own call ended or failed.
     pub fn ended(&mut self, now: ClockTime) {
         self.advance(now);
         self.in_flight = self.in_flight.saturating_sub(1);
-        // A call whose caller hung up gives no first byte; what it left waiting goes with it.
+        // A call that its caller cancelled returns no first byte, so its waiting entry is removed
+        // here.
         while self.waiting.len() > self.in_flight as usize {
             self.waiting.pop_front();
         }
     }
 
-    /// The target told its load, some time after the fact.
+    /// Records a load report of the target, which is delayed.
     pub fn on_report(&mut self, now: ClockTime, report: LoadReport) {
-        if !self.reported {
-            self.reported = true;
+        if !self.has_report {
+            self.has_report = true;
             self.average_running = f64::from(report.running);
             self.average_waiting = f64::from(report.waiting);
             self.average_own = f64::from(self.in_flight);
             self.average_own_waiting = self.waiting.len() as f64;
-            self.updated = now;
+            self.updated_at = now;
         }
         self.advance(now);
         self.report = report;
     }
 
-    /// Forgets the measured speed, so that a target that comes back is measured anew.
-    pub fn forget_speed(&mut self) {
-        self.slowness = 1.0;
-        self.mean_seen_ms = USUAL_FIRST_MS;
-        self.mean_expected_ms = USUAL_FIRST_MS;
+    /// Resets the measured speed, so that a target that returns is measured anew.
+    pub fn reset_speed(&mut self) {
+        self.slowdown = 1.0;
+        self.mean_observed_ms = DEFAULT_FIRST_TOKEN_MS;
+        self.mean_expected_ms = DEFAULT_FIRST_TOKEN_MS;
         self.samples = 0;
     }
 
-    /// Forgets what another host told, whose place was taken. Own calls there still have to end.
-    pub fn forget_host(&mut self, now: ClockTime) {
+    /// Discards what is known of a host that was replaced. Own calls to it stay counted until they
+    /// end.
+    pub fn reset_host(&mut self, now: ClockTime) {
         *self = LoadEstimate {
             in_flight: self.in_flight,
             waiting: std::mem::take(&mut self.waiting),
             mean_uncached: self.mean_uncached,
-            updated: now,
+            updated_at: now,
             ..LoadEstimate::new()
         };
     }
 
     fn advance(&mut self, now: ClockTime) {
-        let span = now.since(self.updated) as f64;
-        self.updated = now;
-        if !self.reported {
+        let elapsed_ms = now.since(self.updated_at) as f64;
+        self.updated_at = now;
+        if !self.has_report {
             return;
         }
-        let weight = 1.0 - (-span / AVERAGE_MS).exp();
+        let weight = 1.0 - (-elapsed_ms / AVERAGING_MS).exp();
         let own = f64::from(self.in_flight);
         self.average_own += weight * (own - self.average_own);
         self.average_own_waiting += weight * (self.waiting.len() as f64 - self.average_own_waiting);
--- a/crates/beechsaddle-core/src/targets/fork_table.rs
+++ b/crates/beechsaddle-core/src/targets/prefix_tree.rs
@@ -1,56 +1,56 @@
-//! The `fork_table` module provides where prompts part: what many share and where each goes on
-//! alone.
+//! The `prefix_tree` module provides the prefixes that recent prompts share and where they diverge.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many different continuations make a block the end of a shared part. A single conversation
-/// has one, and two when a turn is asked again.
-const FORK_CHILDREN: usize = 3;
+/// The number of different continuations that mark a block as the end of a shared prefix. A single
+/// conversation has one, or two when a turn is repeated.
+const BRANCH_CHILDREN: usize = 3;
 
-/// How many new blocks of one prompt are learned at a time: shared parts are learned over a few
-/// calls, and what comes only once does not fill the table.
-const LEARNED_BLOCKS: usize = 4;
+/// The maximum number of new blocks added per prompt: shared prefixes are added over several calls,
+/// and prompts that occur once do not fill the tree.
+const NEW_BLOCKS_PER_CALL: usize = 4;
 
-/// After how many calls all counts are halved, so that shares follow the last few thousand calls.
+/// The number of calls after which all counts are halved, so that shares follow the last few
+/// thousand calls.
 const HALVING_CALLS: u32 = 2_048;
 
-/// The part that a prompt shares with others, and its own continuation.
+/// The prefix that a prompt shares with others and where it diverges.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PromptFork {
+pub struct PrefixBranch {
     /// The hash of the last shared block; `None` when nothing is shared.
     pub shared: Option<u64>,
-    /// The share of recent calls that have this shared part.
+    /// The share of recent calls with this shared prefix, from 0 to 1.
     pub call_share: f64,
-    /// The hash of the first block that is the prompt's own, or of its last block.
+    /// The hash of the first block after the shared prefix, or else of the prompt's last block.
     pub own: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct ForkBlock {
-    children: [u64; FORK_CHILDREN],
+struct PrefixBlock {
+    children: [u64; BRANCH_CHILDREN],
     child_count: usize,
     calls: u32,
     used: u64,
 }
 
-/// Leading blocks of recent prompts, the least recently used dropped first.
+/// Leading blocks of recent prompts; the least recently used are dropped first.
 ///
-/// The turns of one conversation begin with the same blocks, and many conversations begin with the
-/// same instructions. Where prompts part tells the two from each other, and every router learns it
-/// from its own calls alone.
+/// The turns of one conversation start with the same blocks, and many conversations start with the
+/// same instructions. The number of continuations tells the two cases apart, and each router
+/// derives it from its own calls alone.
 #[derive(Debug)]
-pub struct ForkTable {
+pub struct PrefixTree {
     limit: usize,
-    blocks: BTreeMap<u64, ForkBlock>,
+    blocks: BTreeMap<u64, PrefixBlock>,
     oldest: BTreeSet<(u64, u64)>,
     uses: u64,
     calls: u32,
 }
 
-impl ForkTable {
-    /// An empty table of at most `limit` blocks.
+impl PrefixTree {
+    /// Creates an empty tree of at most `limit` blocks.
     pub fn new(limit: usize) -> Self {
-        ForkTable {
+        PrefixTree {
             limit,
             blocks: BTreeMap::new(),
             oldest: BTreeSet::new(),
@@ -59,31 +59,29 @@
         }
     }
 
-    /// How many blocks are known.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether nothing is known.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Learns from a call.
+    /// Records the prefix of a call.
     pub fn learn(&mut self, prefix: &[u64]) {
         self.calls += 1;
         if self.calls >= HALVING_CALLS {
             self.halve();
         }
         let mut learned = 0;
-        for (place, hash) in prefix.iter().enumerate() {
+        for (index, hash) in prefix.iter().enumerate() {
             if !self.blocks.contains_key(hash) {
                 learned += 1;
             }
-            if learned > LEARNED_BLOCKS {
+            if learned > NEW_BLOCKS_PER_CALL {
                 break;
             }
-            self.visit(*hash, prefix.get(place + 1).copied());
+            self.visit(*hash, prefix.get(index + 1).copied());
         }
         while self.blocks.len() > self.limit {
             let Some((_, hash)) = self.oldest.pop_first() else {
@@ -93,22 +91,22 @@
         }
     }
 
-    /// Where a prompt parts from others; `None` for a prompt of less than one block.
-    pub fn find(&self, prefix: &[u64]) -> Option<PromptFork> {
+    /// Finds where a prompt diverges from others; `None` for a prompt of less than one block.
+    pub fn find(&self, prefix: &[u64]) -> Option<PrefixBranch> {
         let known = prefix.iter().map_while(|hash| self.blocks.get(hash));
         let last = known
             .enumerate()
-            .filter(|(_, block)| block.child_count >= FORK_CHILDREN)
+            .filter(|(_, block)| block.child_count >= BRANCH_CHILDREN)
             .last();
         let (shared, call_share, own) = match last {
-            Some((place, block)) => {
+            Some((index, block)) => {
                 let call_share = f64::from(block.calls) / f64::from(self.calls.max(1));
-                (prefix.get(place).copied(), call_share, place + 1)
+                (prefix.get(index).copied(), call_share, index + 1)
             }
             None => (None, 1.0, 0),
         };
         let own = prefix.get(own).or(prefix.last())?;
-        Some(PromptFork {
+        Some(PrefixBranch {
             shared,
             call_share: call_share.min(1.0),
             own: *own,
@@ -136,10 +134,10 @@
     }
 }
 
-impl ForkBlock {
+impl PrefixBlock {
     fn add_child(&mut self, child: u64) {
         let known = &self.children[..self.child_count];
-        if self.child_count < FORK_CHILDREN && !known.contains(&child) {
+        if self.child_count < BRANCH_CHILDREN && !known.contains(&child) {
             self.children[self.child_count] = child;
             self.child_count += 1;
         }
--- a/crates/beechsaddle-core/src/targets/probe_state.rs
+++ b/crates/beechsaddle-core/src/targets/probe_state.rs
@@ -1,94 +1,94 @@
-//! The `probe_state` module provides when one target is probed and what came of it.
+//! The `probe_state` module provides the schedule and the results of the probes of one target.
 
 use super::TargetOptions;
 use crate::clock::ClockTime;
 use crate::members::HostState;
 
-/// The probes of one target by this router.
+/// This router's probes of one target.
 #[derive(Debug, Default)]
 pub struct ProbeState {
-    /// This router's place among the target's probers; `None` when others probe it.
+    /// This router's rank among the probers of the target; `None` when it is not one of them.
     pub rank: Option<usize>,
-    due: ClockTime,
-    sent: Option<ClockTime>,
+    due_at: ClockTime,
+    sent_at: Option<ClockTime>,
     failures: u32,
-    view: Option<(HostState, ClockTime)>,
+    observed_state: Option<(HostState, ClockTime)>,
 }
 
 impl ProbeState {
-    /// What own probes tell of the target, unless they are too old.
-    pub fn view(&self, now: ClockTime, options: &TargetOptions) -> Option<HostState> {
-        self.view
-            .filter(|(_, seen)| now.since(*seen) <= options.view_fresh_ms)
+    /// The state found by own probes, unless the result is too old.
+    pub fn observed_state(&self, now: ClockTime, options: &TargetOptions) -> Option<HostState> {
+        self.observed_state
+            .filter(|(_, observed_at)| now.since(*observed_at) <= options.probe_max_age_ms)
             .map(|(state, _)| state)
     }
 
-    /// Forgets what probes told, because another host took the target's place.
+    /// Discards probe results because another host replaced the target.
     pub fn reset(&mut self) {
         let rank = self.rank;
         *self = ProbeState::default();
         self.rank = rank;
     }
 
-    /// Asks for a probe soon, because a call failed there.
-    pub fn hurry(&mut self, now: ClockTime, options: &TargetOptions) {
-        // A storm of failing calls must not become a storm of probes: at most one is on its way,
-        // and the next one is not sent sooner than a repeated probe would be.
-        let soon = now.plus_ms(options.probe_retry_ms);
-        if self.rank.is_none() && self.due <= now {
-            self.due = soon;
+    /// Schedules a probe soon because a call failed.
+    pub fn request_probe(&mut self, now: ClockTime, options: &TargetOptions) {
+        // Many failing calls must not cause as many probes: at most one is in flight, and the next
+        // is not sent earlier than a retried probe would be.
+        let earliest = now.plus_ms(options.probe_retry_ms);
+        if self.rank.is_none() && self.due_at <= now {
+            self.due_at = earliest;
         }
-        self.due = self.due.min(soon);
+        self.due_at = self.due_at.min(earliest);
     }
 
-    /// Whether to send a probe now; notes that it is sent.
+    /// Whether a probe is due; marks it as sent.
     pub fn take_due(&mut self, now: ClockTime, options: &TargetOptions) -> bool {
-        let is_asked = self.rank.is_some() || self.due > ClockTime::ZERO;
-        if !is_asked || now < self.due || self.sent.is_some() {
+        let is_requested = self.rank.is_some() || self.due_at > ClockTime::ZERO;
+        if !is_requested || now < self.due_at || self.sent_at.is_some() {
             return false;
         }
-        self.sent = Some(now);
-        self.due = match self.rank {
+        self.sent_at = Some(now);
+        self.due_at = match self.rank {
             Some(_) => now.plus_ms(options.probe_period_ms),
             None => ClockTime::ZERO,
         };
         true
     }
 
-    /// Whether a probe has had no outcome for too long; it counts as failed from now on.
-    pub fn take_lost(&mut self, now: ClockTime, options: &TargetOptions) -> bool {
-        let lost = self
-            .sent
-            .is_some_and(|sent| now.since(sent) >= options.probe_timeout_ms);
-        if lost {
-            self.sent = None;
+    /// Whether the probe in flight timed out; it then counts as failed.
+    pub fn take_timed_out(&mut self, now: ClockTime, options: &TargetOptions) -> bool {
+        let timed_out = self
+            .sent_at
+            .is_some_and(|sent_at| now.since(sent_at) >= options.probe_timeout_ms);
+        if timed_out {
+            self.sent_at = None;
         }
-        lost
+        timed_out
     }
 
-    /// Sets the time of the first probe, so that the probers of a target take turns.
-    pub fn set_phase(&mut self, due: ClockTime) {
-        self.due = due;
+    /// Sets the time of the first probe, so that the probers of a target alternate.
+    pub fn set_phase(&mut self, due_at: ClockTime) {
+        self.due_at = due_at;
     }
 
-    /// A probe found the target live or leaving.
+    /// Records that a probe found the target live or leaving.
     pub fn answered(&mut self, now: ClockTime, state: HostState) {
-        self.sent = None;
+        self.sent_at = None;
         self.failures = 0;
-        self.view = Some((state, now));
+        self.observed_state = Some((state, now));
     }
 
-    /// A probe failed. Tells whether the target counts as down now.
+    /// Records a failed probe. Returns whether the target now counts as down.
     pub fn failed(&mut self, now: ClockTime, options: &TargetOptions) -> bool {
-        self.sent = None;
+        self.sent_at = None;
         self.failures = self.failures.saturating_add(1);
         if self.failures < options.down_after {
-            // One lost packet is no failure. A second try follows at once, so that the double
-            // check does not cost a whole period.
-            self.due = now.plus_ms(options.probe_retry_ms);
+            // A single lost packet is not a failure. The retry follows at once, so that confirming
+            // a failure does not take a whole period.
+            self.due_at = now.plus_ms(options.probe_retry_ms);
             return false;
         }
-        self.view = Some((HostState::Down, now));
+        self.observed_state = Some((HostState::Down, now));
         true
     }
 }
--- a/crates/beechsaddle-core/src/targets/service_load.rs
+++ b/crates/beechsaddle-core/src/targets/service_load.rs
@@ -1,15 +1,15 @@
-//! The `service_load` module provides how busy the targets of a service are together.
+//! The `service_load` module provides the combined load of the targets of a service.
 
-/// How busy the targets are that may serve a call, in the own domain.
+/// The load of the targets of the own domain that can serve a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServiceLoad {
-    /// How many there are.
+    /// The number of targets.
     pub targets: u32,
-    /// Calls of all routers that are believed to run or wait there.
+    /// The estimated number of running and waiting calls of all routers.
     pub calls: u32,
-    /// Calls that the targets said are waiting.
+    /// The number of waiting calls that the targets reported.
     pub waiting: u32,
-    /// The expected time to the first token at the best of them, in milliseconds; `None` while no
+    /// The lowest expected time to first token of these targets, in milliseconds; `None` while no
     /// target's speed is measured.
     pub first_token_ms: Option<u64>,
 }
--- a/crates/beechsaddle-core/src/targets/table_choice.rs
+++ b/crates/beechsaddle-core/src/targets/table_choice.rs
@@ -1,4 +1,4 @@
-//! The `table_choice` module provides which targets may serve a call.
+//! The `table_choice` module provides the candidates for a call.
 
 use super::{
     CallWork, ChoiceRequest, ChosenTarget, ServiceLoad, TargetChoice, TargetEntry, TargetTable,
@@ -7,24 +7,24 @@
 use crate::members::HostState;
 use crate::names::{ModelName, ServiceName};
 
-/// How good a group of targets is, the best first. A call goes to the first group that has any.
+/// Candidate groups, the best first. A call goes to the first group that is not empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum CandidateTier {
-    /// Of the own domain and serving the model.
+    /// In the own domain and serving the model.
     Serving,
-    /// Of the own domain; what it serves is not known yet.
+    /// In the own domain; the served model is not known yet.
     Unknown,
-    /// Of the own domain but ejected: better than none, when all that remain are.
+    /// In the own domain but ejected: used when all remaining targets are ejected.
     Ejected,
-    /// Of another domain.
+    /// In another domain.
     Remote,
-    /// Of the own domain and listed as live, but probes fail. When every target's probe fails, the
-    /// probes may be what is broken; a failed connection costs the caller little.
-    Unprobed,
+    /// In the own domain and listed as live, but probes fail. When the probes of all targets fail,
+    /// the probes themselves may be broken; a failed connection costs the caller little.
+    ProbesFailing,
 }
 
 impl TargetTable {
-    /// The target that a call should go to.
+    /// Chooses the target for a call.
     pub fn choose(&mut self, now: ClockTime, request: &ChoiceRequest<'_>) -> TargetChoice {
         let mut tiers: Vec<(CandidateTier, &TargetEntry)> = Vec::new();
         let mut is_any_alive = false;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// How busy the targets of the own domain are that may serve such a call.
+    /// The combined load of the targets of the own domain that can serve the call.
     pub fn service_load(
         &self,
         now: ClockTime,
@@ -103,10 +103,10 @@
             return 0.0;
         }
         let uncached = entry.uncached_tokens(prefix, work, &self.options);
-        entry.expected_ms(uncached, &self.options) * entry.load.slowness()
+        entry.expected_ms(uncached, &self.options) * entry.load.slowdown()
     }
 
-    /// The group of a target; `None` when it must get no new work.
+    /// The candidate group of a target; `None` when it must not get new calls.
     fn tier_of(
         &self,
         now: ClockTime,
@@ -118,7 +118,7 @@
         match entry.state(now, &self.options) {
             HostState::Leaving => None,
             HostState::Down if is_local && entry.listed == Some(HostState::Live) => {
-                Some(CandidateTier::Unprobed)
+                Some(CandidateTier::ProbesFailing)
             }
             HostState::Down => None,
             HostState::Live if !is_local => {
--- a/crates/beechsaddle-core/src/targets/table_engines.rs
+++ b/crates/beechsaddle-core/src/targets/table_engines.rs
@@ -1,4 +1,4 @@
-//! The `table_engines` module provides what is known of engines, for those who order them.
+//! The `table_engines` module provides the known engines of the own domain.
 
 use super::{TargetEntry, TargetTable};
 use crate::clock::ClockTime;
@@ -6,29 +6,27 @@
 use crate::names::{ServiceName, TargetName};
 use crate::target::EngineState;
 
-/// What is known of an engine of the own domain.
+/// The known state of an engine of the own domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EngineNews {
-    /// The engine.
+pub struct EngineUpdate {
     pub target: TargetName,
-    /// Where it listens, as `address:port`.
+    /// The address for calls, as `address:port`.
     pub address: String,
-    /// Its service.
     pub service: ServiceName,
-    /// What it was last seen to serve, by own probes or by a peer's.
+    /// The state last observed by this router's probes or reported by a peer.
     pub state: EngineState,
 }
 
 impl TargetTable {
-    /// The engines of the own domain that are listed and whose state was seen.
-    pub fn engines(&self) -> impl Iterator<Item = EngineNews> {
+    /// The listed engines of the own domain whose state is known.
+    pub fn engines(&self) -> impl Iterator<Item = EngineUpdate> {
         self.entries
             .values()
             .filter(|entry| entry.domain == self.domain)
-            .filter_map(engine_news)
+            .filter_map(engine_update)
     }
 
-    /// How many targets of the own domain get new work.
+    /// The number of targets of the own domain that accept new calls.
     pub fn live_count(&self, now: ClockTime) -> u64 {
         self.entries
             .values()
@@ -38,9 +36,9 @@
     }
 }
 
-fn engine_news(entry: &TargetEntry) -> Option<EngineNews> {
+fn engine_update(entry: &TargetEntry) -> Option<EngineUpdate> {
     entry.listed?;
-    Some(EngineNews {
+    Some(EngineUpdate {
         target: entry.target.clone(),
         address: entry.address.clone(),
         service: entry.service.clone(),
--- a/crates/beechsaddle-core/src/targets/table_probes.rs
+++ b/crates/beechsaddle-core/src/targets/table_probes.rs
@@ -1,4 +1,5 @@
-//! The `table_probes` module provides who probes which target, and what probes tell.
+//! The `table_probes` module provides the assignment of probes to routers and the handling of their
+//! results.
 
 use super::target_table::state_line;
 use super::{TargetEntry, TargetTable};
@@ -9,16 +10,16 @@
 use crate::target::{CacheNews, EngineState, LoadReport, ProbeOutcome, TargetAction, TargetEvent};
 
 impl TargetTable {
-    /// Sends the probes that are due and looks after what time changes.
+    /// Sends due probes and applies time-based changes.
     pub fn tick(&mut self, now: ClockTime, members: &MemberTable, outbox: &mut CoreOutbox) {
         self.plan_probes(now, members);
         self.send_probes(now, outbox);
         self.refresh_entries(now);
-        self.forget_old(now);
+        self.remove_expired(now);
         self.report_counts(outbox);
     }
 
-    /// Takes the outcome of a probe.
+    /// Handles the outcome of a probe.
     pub fn on_target(&mut self, now: ClockTime, event: &TargetEvent, outbox: &mut CoreOutbox) {
         let TargetEvent::Probed {
             target,
@@ -34,18 +35,18 @@
         match outcome {
             ProbeOutcome::Healthy { load, engine } => {
                 entry.probe.answered(now, HostState::Live);
-                entry.take_load(now, *load, engine.as_ref());
-                entry.take_cache(now, cache.as_ref());
-                if entry.word.observe(HostState::Live) {
-                    entry.fresh_since = Some(now);
-                    entry.tell_urgently();
+                entry.record_load(now, *load, engine.as_ref());
+                entry.apply_cache_update(now, cache.as_ref());
+                if entry.agreed.observe(HostState::Live) {
+                    entry.slow_start_since = Some(now);
+                    entry.announce_urgently();
                     outbox.act(state_line("target_up", entry));
                 }
             }
             ProbeOutcome::Leaving => {
                 entry.probe.answered(now, HostState::Leaving);
-                if entry.word.observe(HostState::Leaving) {
-                    entry.tell_urgently();
+                if entry.agreed.observe(HostState::Leaving) {
+                    entry.announce_urgently();
                     outbox.act(state_line("target_leaving", entry));
                 }
             }
@@ -58,21 +59,21 @@
             return;
         };
         let is_down = entry.probe.failed(now, &self.options);
-        if is_down && entry.word.observe(HostState::Down) {
-            entry.tell_urgently();
+        if is_down && entry.agreed.observe(HostState::Down) {
+            entry.announce_urgently();
             outbox.act(state_line("target_down", entry));
         }
     }
 
-    /// Shares the targets of the own domain out over its live routers by rendezvous hashing. A few
-    /// routers probe each target and tell the rest, so that the work of a router stays the same
-    /// however many routers there are.
+    /// Assigns the targets of the own domain to its live routers by rendezvous hashing. A few
+    /// routers probe each target and report to the others, so that the work per router does not
+    /// grow with the number of routers.
     fn plan_probes(&mut self, now: ClockTime, members: &MemberTable) {
         let fingerprint = members_fingerprint(members);
-        if self.planned_for == Some(fingerprint) {
+        if self.planned_fingerprint == Some(fingerprint) {
             return;
         }
-        self.planned_for = Some(fingerprint);
+        self.planned_fingerprint = Some(fingerprint);
         let period = self.options.probe_period_ms.max(1);
         let probers = self.options.probers.max(1);
         for entry in self.entries.values_mut() {
@@ -88,21 +89,21 @@
             }
             entry.probe.rank = rank;
             if let Some(rank) = rank {
-                let turn = period * rank as u64 / probers as u64;
-                let phase = (stable_hash(entry.target.as_str()) % period + turn) % period;
+                let offset = period * rank as u64 / probers as u64;
+                let phase = (stable_hash(entry.target.as_str()) % period + offset) % period;
                 entry.probe.set_phase(now.plus_ms(phase));
             }
         }
     }
 
     fn send_probes(&mut self, now: ClockTime, outbox: &mut CoreOutbox) {
-        let mut lost = Vec::new();
+        let mut timed_out = Vec::new();
         for entry in self.entries.values_mut() {
             if entry.listed.is_none() {
                 continue;
             }
-            if entry.probe.take_lost(now, &self.options) {
-                lost.push(entry.target.clone());
+            if entry.probe.take_timed_out(now, &self.options) {
+                timed_out.push(entry.target.clone());
             }
             if entry.probe.take_due(now, &self.options) {
                 outbox.act(TargetAction::Probe {
@@ -112,37 +113,37 @@
                 });
             }
         }
-        for target in lost {
+        for target in timed_out {
             self.probe_failed(now, target.as_str(), outbox);
         }
     }
 }
 
 impl TargetEntry {
-    /// Takes what the target says of itself, by an own probe or through a peer.
-    pub fn take_load(&mut self, now: ClockTime, load: LoadReport, engine: Option<&EngineState>) {
+    /// Records the target's report of itself, from an own probe or through a peer.
+    pub fn record_load(&mut self, now: ClockTime, load: LoadReport, engine: Option<&EngineState>) {
         self.load.on_report(now, load);
         if engine.is_some() && self.engine.as_ref() != engine {
             self.engine = engine.cloned();
-            self.tell_once();
+            self.announce_in_next();
         }
     }
 
-    fn take_cache(&mut self, now: ClockTime, cache: Option<&CacheNews>) {
-        if let Some(news) = cache {
-            self.prefixes.on_news(now, news);
+    fn apply_cache_update(&mut self, now: ClockTime, cache: Option<&CacheNews>) {
+        if let Some(update) = cache {
+            self.prefixes.apply(now, update);
         }
     }
 
-    /// After which cache event to ask, once the target has shown to be an engine.
+    /// The cache event after which to request events, once the target is known to be an engine.
     ///
-    /// A plain service would take the question for a caller's call and run it.
+    /// A plain service would run the request as a call.
     fn cache_after(&self) -> Option<u64> {
         self.engine.as_ref().map(|_| self.prefixes.next_event())
     }
 }
 
-/// Tells sets of live routers apart.
+/// Identifies the set of live routers.
 fn members_fingerprint(members: &MemberTable) -> u64 {
     let live = members.ranked("");
     let names: Vec<String> = live.iter().map(|router| router.to_string()).collect();
--- a/crates/beechsaddle-core/src/targets/target_choice.rs
+++ b/crates/beechsaddle-core/src/targets/target_choice.rs
@@ -1,13 +1,12 @@
-//! The `target_choice` module provides the answer which target gets a call.
+//! The `target_choice` module provides the result of a target choice.
 
 use serde::Serialize;
 
 use crate::names::TargetName;
 
-/// A chosen target, or why there is none.
+/// The chosen target, or the reason why there is none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub enum TargetChoice {
-    /// The call goes here.
     Chosen(ChosenTarget),
     /// No target of the service is alive.
     NoneAlive,
@@ -17,15 +16,13 @@
     AllTried,
 }
 
-/// A chosen target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ChosenTarget {
-    /// The target.
     pub target: TargetName,
-    /// Where it listens, as `address:port`.
+    /// The address for calls, as `address:port`.
     pub address: String,
-    /// Whether it is in the router's own domain.
+    /// Whether the target is in the router's own domain.
     pub domain_local: bool,
-    /// The expected time to the first token in milliseconds; zero for a plain service.
+    /// The expected time to first token in milliseconds; zero for a plain service.
     pub first_token_ms: u64,
 }
--- a/crates/beechsaddle-core/src/targets/target_entry.rs
+++ b/crates/beechsaddle-core/src/targets/target_entry.rs
@@ -1,7 +1,7 @@
-//! The `target_entry` module provides all that a router knows of one target.
+//! The `target_entry` module provides the state that a router holds for one target.
 
 use super::{
-    CallWork, LoadEstimate, OutlierWatch, PrefixIndex, ProbeState, TargetOptions, TargetWord,
+    CallWork, LoadEstimate, OutlierDetector, PrefixIndex, ProbeState, StateReport, TargetOptions,
 };
 use crate::clock::ClockTime;
 use crate::members::{HostRecord, HostState};
@@ -9,58 +9,55 @@
 use crate::peer::TargetNews;
 use crate::target::{EngineState, LoadReport};
 
-/// What a call to a plain service is taken to last, in milliseconds; only the ratio between targets
-/// matters.
+/// The assumed duration of a call to a plain service, in milliseconds; only the ratio between
+/// targets matters.
 const PLAIN_EXPECTED_MS: f64 = 100.0;
 
-/// Of how many tellings of a load one says what the engine serves, too.
-const ENGINE_TOLD_EVERY: u32 = 4;
+/// One in this many load updates also carries the engine state.
+const ENGINE_RESEND_INTERVAL: u32 = 4;
 
-/// One target as this router knows it.
+/// The state of one target at this router.
 #[derive(Debug)]
 pub struct TargetEntry {
-    /// Its name.
     pub target: TargetName,
-    /// Where it listens, as `address:port`.
+    /// The address for calls, as `address:port`.
     pub address: String,
-    /// Its domain.
     pub domain: DomainName,
-    /// Its service.
     pub service: ServiceName,
-    /// Grows each time the host is replaced.
+    /// Increases each time the host is replaced.
     pub epoch: u64,
-    /// What the host list says; `None` when it is not listed any more.
+    /// The state in the host list; `None` when no longer listed.
     pub listed: Option<HostState>,
-    /// Since when it is not listed.
+    /// The time at which the target disappeared from the host list.
     pub unlisted_since: ClockTime,
-    /// Whether another target with a later epoch has the same address, or peers know a later epoch.
+    /// Whether another target with a later epoch has the same address, or a peer reported a later
+    /// epoch.
     pub replaced: bool,
-    /// What the routers of the domain agree on.
-    pub word: TargetWord,
-    /// Own probes.
+    /// The state that the routers of the domain converge on.
+    pub agreed: StateReport,
+    /// This router's probes.
     pub probe: ProbeState,
-    /// What it is set to serve, as far as known.
+    /// The engine state, if known.
     pub engine: Option<EngineState>,
-    /// How busy it is.
     pub load: LoadEstimate,
-    /// Which prefixes it holds.
+    /// The prefixes estimated to be cached.
     pub prefixes: PrefixIndex,
-    /// What calls tell of it.
-    pub outlier: OutlierWatch,
-    /// Since when it gets work again, while it is in slow start.
-    pub fresh_since: Option<ClockTime>,
-    /// Whether to tell of it in the next heartbeat.
-    pub tell: bool,
-    /// Whether to tell of it at once.
+    /// Outcomes of this router's calls.
+    pub outlier: OutlierDetector,
+    /// The start of the current slow start, if any.
+    pub slow_start_since: Option<ClockTime>,
+    /// Whether the next heartbeat carries an update about the target.
+    pub announce: bool,
+    /// Whether a heartbeat with the update should be sent at once.
     pub urgent: bool,
-    /// The load that peers were told last.
-    pub told_load: LoadReport,
-    /// How often the load was told without another cause.
-    pub load_tellings: u32,
+    /// The load last sent to peers.
+    pub sent_load: LoadReport,
+    /// The number of updates sent because of the load alone.
+    pub load_update_count: u32,
 }
 
 impl TargetEntry {
-    /// A target that was just listed.
+    /// Creates the entry of a newly listed target.
     pub fn new(record: &HostRecord, service: &ServiceName, options: &TargetOptions) -> Self {
         TargetEntry {
             target: TargetName::new(record.host.as_str()),
@@ -71,22 +68,22 @@
             listed: Some(record.state),
             unlisted_since: ClockTime::ZERO,
             replaced: false,
-            word: TargetWord::default(),
+            agreed: StateReport::default(),
             probe: ProbeState::default(),
             engine: None,
             load: LoadEstimate::new(),
             prefixes: PrefixIndex::new(options.prefix_limit),
-            outlier: OutlierWatch::default(),
-            fresh_since: None,
-            tell: false,
+            outlier: OutlierDetector::default(),
+            slow_start_since: None,
+            announce: false,
             urgent: false,
-            told_load: LoadReport::default(),
-            load_tellings: 0,
+            sent_load: LoadReport::default(),
+            load_update_count: 0,
         }
     }
 
-    /// Takes over a record of a later epoch: another host, of which nothing is known yet. Own calls
-    /// to the old host stay counted until they end.
+    /// Applies a record with a later epoch: a different host without known state. Own calls to the
+    /// old host stay counted until they end.
     pub fn replace(&mut self, now: ClockTime, record: &HostRecord, service: &ServiceName) {
         self.address = record.address.clone();
         self.domain = record.domain.clone();
@@ -94,35 +91,35 @@
         self.epoch = record.epoch;
         self.listed = Some(record.state);
         self.replaced = false;
-        self.word = TargetWord::default();
+        self.agreed = StateReport::default();
         self.probe.reset();
         self.engine = None;
-        self.load.forget_host(now);
+        self.load.reset_host(now);
         self.prefixes.clear();
-        self.outlier = OutlierWatch::default();
-        self.fresh_since = Some(now);
-        self.tell = false;
+        self.outlier = OutlierDetector::default();
+        self.slow_start_since = Some(now);
+        self.announce = false;
         self.urgent = false;
     }
 
-    /// Whether it serves, from the host list, probes and peers joined.
+    /// The state of the target, combined from the host list, probes and peer reports.
     pub fn state(&self, now: ClockTime, options: &TargetOptions) -> HostState {
         let Some(listed) = self.listed else {
             return HostState::Down;
         };
-        if self.replaced || self.word.state() == HostState::Leaving {
+        if self.replaced || self.agreed.state() == HostState::Leaving {
             return HostState::Leaving;
         }
-        if let Some(view) = self.probe.view(now, options) {
-            return view;
+        if let Some(observed_state) = self.probe.observed_state(now, options) {
+            return observed_state;
         }
-        if self.word.is_observed() {
-            return self.word.state();
+        if self.agreed.is_observed() {
+            return self.agreed.state();
         }
         listed
     }
 
-    /// Whether it may serve a call for `model`: it has it loaded, or nothing is known yet.
+    /// Whether the target can serve `model`: the model is loaded, or the engine state is unknown.
     pub fn may_serve(&self, model: Option<&ModelName>) -> bool {
         match (model, &self.engine) {
             (Some(wanted), Some(engine)) => engine.model == *wanted,
@@ -130,29 +127,29 @@
         }
     }
 
-    /// The share of the usual work that it gets, in slow start less than one.
-    pub fn warmth(&self, now: ClockTime, options: &TargetOptions) -> f64 {
-        let Some(since) = self.fresh_since else {
+    /// The share of its normal load that the target gets; below 1.0 during slow start.
+    pub fn slow_start_share(&self, now: ClockTime, options: &TargetOptions) -> f64 {
+        let Some(since) = self.slow_start_since else {
             return 1.0;
         };
-        let span = now.since(since) as f64;
-        (span / options.slow_start_ms.max(1) as f64).min(1.0)
+        let elapsed_ms = now.since(since) as f64;
+        (elapsed_ms / options.slow_start_ms.max(1) as f64).min(1.0)
     }
 
-    /// The prompt tokens that it would have to read.
+    /// The prompt tokens that the target would have to prefill.
     pub fn uncached_tokens(&self, prefix: &[u64], work: CallWork, options: &TargetOptions) -> u64 {
         let cached = self.prefixes.depth(prefix) as u64 * options.block_tokens;
         work.prompt_tokens.saturating_sub(cached)
     }
 
-    /// The time to the first token, in milliseconds, that a target of the usual speed would need
-    /// for `uncached_tokens` behind what waits there now.
+    /// The time to first token, in milliseconds, of a target with the default speed for
+    /// `uncached_tokens` after the prompts that wait there now.
     pub fn expected_ms(&self, uncached_tokens: u64, options: &TargetOptions) -> f64 {
         let tokens = self.load.waiting_tokens() + uncached_tokens as f64;
         tokens * 1_000.0 / options.prefill_rate + self.load.calls() * options.batch_ms
     }
 
-    /// Notes a call that is sent there now.
+    /// Records a call that is sent to the target now.
     pub fn start(
         &mut self,
         now: ClockTime,
@@ -170,43 +167,44 @@
         self.prefixes.touch(now, prefix);
     }
 
-    /// Marks an observation of this router for a heartbeat at once.
-    pub fn tell_urgently(&mut self) {
-        self.tell = true;
+    /// Announces an observation of this router in an immediate heartbeat.
+    pub fn announce_urgently(&mut self) {
+        self.announce = true;
         self.urgent = true;
     }
 
-    /// Marks what is known for the next heartbeat.
-    pub fn tell_once(&mut self) {
-        self.tell = true;
+    /// Announces the known state in the next heartbeat.
+    pub fn announce_in_next(&mut self) {
+        self.announce = true;
     }
 
-    /// Whether the load changed enough to tell peers, who do not see it themselves.
-    pub fn has_load_news(&self, options: &TargetOptions) -> bool {
+    /// Whether the load changed enough to send it to the peers that do not probe the target.
+    pub fn has_load_change(&self, options: &TargetOptions) -> bool {
         if self.probe.rank != Some(0) {
             return false;
         }
         let load = self.load.report();
-        let told = self.told_load;
-        let step = options.load_news_step.max(told.running / 4);
-        load.running.abs_diff(told.running) >= step || load.waiting.abs_diff(told.waiting) >= step
+        let sent = self.sent_load;
+        let step = options.load_update_step.max(sent.running / 4);
+        load.running.abs_diff(sent.running) >= step || load.waiting.abs_diff(sent.waiting) >= step
     }
 
-    /// Whether news of the load says again what the engine serves. That is more than half of the
-    /// bytes and hardly ever changes; routers that are new need it now and then.
-    pub fn is_engine_told_again(&mut self) -> bool {
-        self.load_tellings += 1;
-        self.load_tellings.is_multiple_of(ENGINE_TOLD_EVERY)
+    /// Whether a load update also carries the engine state. That state is more than half of the
+    /// bytes and rarely changes, but new routers need it from time to time.
+    pub fn take_engine_resend(&mut self) -> bool {
+        self.load_update_count += 1;
+        self.load_update_count
+            .is_multiple_of(ENGINE_RESEND_INTERVAL)
     }
 
-    /// What to tell peers.
-    pub fn to_news(&self) -> TargetNews {
+    /// Creates the update for peers.
+    pub fn to_update(&self) -> TargetNews {
         let is_prober = self.probe.rank.is_some();
         TargetNews {
             target: self.target.clone(),
             epoch: self.epoch,
-            state: self.word.state(),
-            sequence: self.word.sequence(),
+            state: self.agreed.state(),
+            sequence: self.agreed.sequence(),
             load: is_prober.then(|| self.load.report()),
             engine: self.engine.clone().filter(|_| is_prober),
         }
--- a/crates/beechsaddle-core/src/targets/target_options.rs
+++ b/crates/beechsaddle-core/src/targets/target_options.rs
@@ -1,63 +1,66 @@
-//! The `target_options` module provides the settings of target views and target choice.
+//! The `target_options` module provides the settings of target state and target choice.
 
 use super::ChoicePolicy;
 
 /// Settings of a [`TargetTable`](super::TargetTable).
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetOptions {
-    /// How targets are chosen.
+    /// The policy for choosing targets.
     pub policy: ChoicePolicy,
-    /// How often each prober probes a target, in milliseconds.
+    /// The interval between probes of a target by one prober, in milliseconds.
     pub probe_period_ms: u64,
-    /// After how many milliseconds without outcome a probe counts as failed.
+    /// The time without outcome after which a probe counts as failed, in milliseconds.
     pub probe_timeout_ms: u64,
-    /// How soon a failed probe is repeated, in milliseconds.
+    /// The delay before a failed probe is retried, in milliseconds.
     pub probe_retry_ms: u64,
-    /// How many routers of the domain probe each target.
+    /// The number of routers of the domain that probe each target.
     pub probers: usize,
-    /// How many probes in a row have to fail before a target is down.
+    /// The number of consecutive failed probes after which a target is down.
     pub down_after: u32,
-    /// For how long an own probe outweighs the word of peers, in milliseconds.
-    pub view_fresh_ms: u64,
-    /// For how long a host that is no longer listed is remembered, in milliseconds, so that an
-    /// older list cannot bring it back.
-    pub forget_ms: u64,
-    /// How many observations one heartbeat carries at most.
-    pub news_limit: usize,
-    /// By how many calls a load has to change before peers are told, at least.
-    pub load_news_step: u32,
-    /// How many failures in a row eject a target.
+    /// How long the result of an own probe takes precedence over peer reports, in milliseconds.
+    pub probe_max_age_ms: u64,
+    /// How long an unlisted host is retained, in milliseconds, so that an older list cannot restore
+    /// it.
+    pub unlisted_retention_ms: u64,
+    /// The maximum number of target updates in one heartbeat.
+    pub update_limit: usize,
+    /// The minimum change of a load, in calls, that is sent to peers.
+    pub load_update_step: u32,
+    /// The number of consecutive failures that ejects a target.
     pub eject_after: u32,
-    /// For how long the first ejection lasts, in milliseconds; each further one twice as long.
+    /// The duration of the first ejection, in milliseconds; each further one lasts twice as long.
     pub eject_base_ms: u64,
-    /// The longest ejection, in milliseconds.
+    /// The maximum duration of an ejection, in milliseconds.
     pub eject_max_ms: u64,
     /// The share of a service's targets that may be ejected, in thousandths.
     pub eject_share_permille: u64,
-    /// How many times slower than the median a target has to be to be ejected.
+    /// The ratio of a target's slowdown to the median above which it is ejected.
     pub slow_ratio: f64,
-    /// How many first tokens have to be seen before a target can be called slow.
+    /// The number of measured first tokens that are needed to eject a target as slow.
     pub slow_samples: u32,
-    /// For how long a target that just came or came back gets less work, in milliseconds.
+    /// How long a new or returned target gets reduced load, in milliseconds.
     pub slow_start_ms: u64,
-    /// For how long a target that said it was busy is avoided, in milliseconds.
+    /// How long a target that reported itself busy is avoided, in milliseconds.
     pub busy_ms: u64,
-    /// How many prefix hashes are remembered for each target.
+    /// The maximum number of prefix hashes stored per target.
     pub prefix_limit: usize,
-    /// How many tokens one block of a prompt is taken for.
+    /// The assumed number of tokens in one block of a prompt.
     pub block_tokens: u64,
-    /// The prompt tokens a second that an engine is taken to read until its speed is measured.
+    /// The prefill rate assumed for an engine until its speed is measured, in prompt tokens per
+    /// second.
     pub prefill_rate: f64,
-    /// The milliseconds that each call in an engine's batch is taken to add to a first token.
+    /// The assumed increase of the time to first token for each call in an engine's batch, in
+    /// milliseconds.
     pub batch_ms: f64,
-    /// How many blocks are remembered to find what prompts share.
-    pub fork_limit: usize,
-    /// The part of a prompt that its home is taken to have to read, unless less is known.
-    pub home_unread: f64,
-    /// How many times slower than the median a target may be and still be a home.
-    pub home_slowness: f64,
-    /// How many times more targets than its share of calls a shared part is spread over.
-    pub home_slack: f64,
+    /// The maximum number of blocks in the prefix tree.
+    pub prefix_tree_limit: usize,
+    /// The fraction of a prompt that its affinity target is assumed to have to read, unless less is
+    /// known.
+    pub affinity_unread_ratio: f64,
+    /// The maximum ratio of an affinity target's slowdown to the median.
+    pub affinity_max_slowdown: f64,
+    /// The factor by which the group of targets for a shared prefix exceeds its share of calls.
+    pub affinity_spread_factor: f64,
     /// Whether calls may go to other domains when the own one cannot serve them.
     pub cross_domain: bool,
 }
@@ -71,10 +74,10 @@
             probe_retry_ms: 100,
             probers: 2,
             down_after: 2,
-            view_fresh_ms: 3_000,
-            forget_ms: 600_000,
-            news_limit: 64,
-            load_news_step: 4,
+            probe_max_age_ms: 3_000,
+            unlisted_retention_ms: 600_000,
+            update_limit: 64,
+            load_update_step: 4,
             eject_after: 3,
             eject_base_ms: 5_000,
             eject_max_ms: 60_000,
@@ -87,10 +90,10 @@
             block_tokens: 64,
             prefill_rate: 8_000.0,
             batch_ms: 1.0,
-            fork_limit: 4_096,
-            home_unread: 0.2,
-            home_slowness: 2.0,
-            home_slack: 8.0,
+            prefix_tree_limit: 4_096,
+            affinity_unread_ratio: 0.2,
+            affinity_max_slowdown: 2.0,
+            affinity_spread_factor: 8.0,
             cross_domain: true,
         }
     }
--- a/crates/beechsaddle-core/src/targets/target_picker.rs
+++ b/crates/beechsaddle-core/src/targets/target_picker.rs
@@ -1,33 +1,33 @@
-//! The `target_picker` module provides the choice among targets that may all serve a call.
+//! The `target_picker` module provides the choice among candidates that can all serve a call.
 
-use super::home_target::home_of;
-use super::{ChoicePolicy, ChoiceRequest, ForkTable, TargetEntry, TargetOptions};
+use super::affinity_target::affinity_target_of;
+use super::{ChoicePolicy, ChoiceRequest, PrefixTree, TargetEntry, TargetOptions};
 use crate::catalogue::ServiceKind;
 use crate::clock::ClockTime;
 use crate::random::SeededRandom;
 
-/// Chooses among targets.
+/// Picks one of several candidates.
 #[derive(Debug)]
 pub struct TargetPicker {
     random: SeededRandom,
-    forks: ForkTable,
+    prefix_tree: PrefixTree,
 }
 
 impl TargetPicker {
-    /// A picker; equal seeds give equal choices.
+    /// Creates a picker; equal seeds give equal choices.
     pub fn new(seed: u64, options: &TargetOptions) -> Self {
         TargetPicker {
             random: SeededRandom::new(seed),
-            forks: ForkTable::new(options.fork_limit),
+            prefix_tree: PrefixTree::new(options.prefix_tree_limit),
         }
     }
 
-    /// Learns from a call that was sent.
+    /// Records the prefix of a call that was sent.
     pub fn learn(&mut self, prefix: &[u64]) {
-        self.forks.learn(prefix);
+        self.prefix_tree.learn(prefix);
     }
 
-    /// One of the candidates; `None` when there are none.
+    /// Picks one of the candidates; `None` when there are none.
     pub fn pick<'a>(
         &mut self,
         now: ClockTime,
@@ -37,39 +37,39 @@
     ) -> Option<&'a TargetEntry> {
         match (options.policy, request.kind) {
             (ChoicePolicy::Random, _) => self.pick_random(candidates),
-            (ChoicePolicy::LeastInFlight, _) => self.pick_least(candidates),
+            (ChoicePolicy::LeastInFlight, _) => self.pick_least_loaded(candidates),
             (ChoicePolicy::Adaptive, kind) => {
                 let ready = ready_candidates(now, candidates, options);
                 match kind {
                     ServiceKind::Plain => self.pick_of_two(&ready),
-                    ServiceKind::Engine => self.pick_soonest(&ready, request, options),
+                    ServiceKind::Engine => self.pick_lowest_cost(&ready, request, options),
                 }
             }
         }
     }
 
     fn pick_random<'a>(&mut self, candidates: &[&'a TargetEntry]) -> Option<&'a TargetEntry> {
-        let place = self.random.below(candidates.len() as u64) as usize;
-        candidates.get(place).copied()
+        let index = self.random.below(candidates.len() as u64) as usize;
+        candidates.get(index).copied()
     }
 
-    fn pick_least<'a>(&mut self, candidates: &[&'a TargetEntry]) -> Option<&'a TargetEntry> {
+    fn pick_least_loaded<'a>(&mut self, candidates: &[&'a TargetEntry]) -> Option<&'a TargetEntry> {
         let least = candidates
             .iter()
             .map(|entry| entry.load.in_flight())
             .min()?;
-        let level: Vec<&TargetEntry> = candidates
+        let tied: Vec<&TargetEntry> = candidates
             .iter()
             .copied()
             .filter(|entry| entry.load.in_flight() == least)
             .collect();
-        self.pick_random(&level)
+        self.pick_random(&tied)
     }
 
     fn pick_of_two<'a>(&mut self, candidates: &[&'a TargetEntry]) -> Option<&'a TargetEntry> {
         let first = self.pick_random(candidates)?;
         let second = self.pick_random(candidates)?;
-        // A call that is in flight at a slow target stays for longer, so the count tells speed too.
+        // Calls stay in flight for longer at a slow target, so the count also reflects speed.
         if second.load.in_flight() < first.load.in_flight() {
             Some(second)
         } else {
@@ -77,14 +77,15 @@
         }
     }
 
-    fn pick_soonest<'a>(
+    fn pick_lowest_cost<'a>(
         &mut self,
         candidates: &[&'a TargetEntry],
         request: &ChoiceRequest<'_>,
         options: &TargetOptions,
     ) -> Option<&'a TargetEntry> {
-        let homes = usual_candidates(candidates, options);
-        let home = home_of(&homes, request.prefix, &self.forks, options);
+        let eligible = affinity_candidates(candidates, options);
+        let affinity_target =
+            affinity_target_of(&eligible, request.prefix, &self.prefix_tree, options);
         let uncached: Vec<u64> = candidates
             .iter()
             .map(|entry| entry.uncached_tokens(request.prefix, request.work, options))
@@ -93,17 +94,18 @@
         let start = self.random.below(candidates.len() as u64) as usize;
         let mut best: Option<(f64, &TargetEntry)> = None;
         for step in 0..candidates.len() {
-            let place = (start + step) % candidates.len();
-            let entry = candidates[place];
-            let mut unread = uncached[place] as f64;
-            if home == Some(&entry.target) {
-                // Other routers send the same conversation there. What this one has not seen of it
-                // is taken to be a part of what even the best known target would have to read.
-                // A target that is known to hold all but a block comes before that assumption.
-                let assumed = least as f64 * options.home_unread;
+            let index = (start + step) % candidates.len();
+            let entry = candidates[index];
+            let mut unread = uncached[index] as f64;
+            if affinity_target == Some(&entry.target) {
+                // Other routers send the same conversation to this target. The part that this
+                // router has not seen cached there is assumed to be a fraction of what the
+                // candidate with the most cached tokens would read. The bound of one block prefers
+                // a target that is known to have all but a block cached.
+                let assumed = least as f64 * options.affinity_unread_ratio;
                 unread = unread.min(assumed.max(options.block_tokens as f64));
             }
-            let cost = entry.expected_ms(unread as u64, options) * entry.load.slowness();
+            let cost = entry.expected_ms(unread as u64, options) * entry.load.slowdown();
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, entry));
             }
@@ -112,31 +114,31 @@
     }
 }
 
-/// The candidates without those that are clearly slower than the others.
+/// Returns the candidates that are not clearly slower than the others.
 ///
-/// A slow target is no home: the first token may still come soonest from there while it has little
-/// to read, but every further turn of the conversation would be slow with it.
-fn usual_candidates<'a>(
+/// A slow target is not used as affinity target: its first token may still be the earliest while it
+/// has little to read, but every further turn of the conversation would be slow.
+fn affinity_candidates<'a>(
     candidates: &[&'a TargetEntry],
     options: &TargetOptions,
 ) -> Vec<&'a TargetEntry> {
-    let mut speeds: Vec<f64> = candidates
+    let mut slowdowns: Vec<f64> = candidates
         .iter()
-        .map(|entry| entry.load.slowness())
+        .map(|entry| entry.load.slowdown())
         .collect();
-    speeds.sort_by(f64::total_cmp);
-    let Some(median) = speeds.get(speeds.len() / 2) else {
+    slowdowns.sort_by(f64::total_cmp);
+    let Some(median) = slowdowns.get(slowdowns.len() / 2) else {
         return Vec::new();
     };
     candidates
         .iter()
         .copied()
-        .filter(|entry| entry.load.slowness() <= median * options.home_slowness)
+        .filter(|entry| entry.load.slowdown() <= median * options.affinity_max_slowdown)
         .collect()
 }
 
-/// The candidates without those that are busy or have had their share in slow start, unless that
-/// leaves none.
+/// Returns the candidates that are not busy and have not used up their share in slow start, or all
+/// of them if none remains.
 fn ready_candidates<'a>(
     now: ClockTime,
     candidates: &[&'a TargetEntry],
@@ -149,8 +151,9 @@
         .copied()
         .filter(|entry| !entry.outlier.is_busy(now))
         .filter(|entry| {
-            let warmth = entry.warmth(now, options);
-            warmth >= 1.0 || f64::from(entry.load.in_flight()) < (warmth * mean).max(1.0)
+            let slow_start_share = entry.slow_start_share(now, options);
+            slow_start_share >= 1.0
+                || f64::from(entry.load.in_flight()) < (slow_start_share * mean).max(1.0)
         })
         .collect();
     if ready.is_empty() {
--- a/crates/beechsaddle-core/src/targets/target_table.rs
+++ b/crates/beechsaddle-core/src/targets/target_table.rs
@@ -1,4 +1,4 @@
-//! The `target_table` module provides the view that one router has of all targets.
+//! The `target_table` module provides one router's view of all targets.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,27 +12,27 @@
 use crate::report::{CounterName, LogLevel, LogLine, ReportAction};
 use crate::status::TargetStatus;
 
-/// All targets that a router knows.
+/// All targets known to a router.
 #[derive(Debug)]
 pub struct TargetTable {
     pub(super) options: TargetOptions,
     pub(super) me: RouterIncarnation,
     pub(super) domain: DomainName,
     pub(super) entries: BTreeMap<TargetName, TargetEntry>,
-    /// Words of peers about targets or epochs that the host list does not show here yet.
-    pub(super) early: BTreeMap<TargetName, TargetNews>,
+    /// Updates of peers about targets or epochs that are not in this router's host list yet.
+    pub(super) early_updates: BTreeMap<TargetName, TargetNews>,
     pub(super) picker: TargetPicker,
-    /// The live routers that the probers were shared out over.
-    pub(super) planned_for: Option<u64>,
-    /// Where the repeated telling of bad targets goes on.
-    pub(super) news_cursor: Option<TargetName>,
+    /// Fingerprint of the live routers that the probes were last assigned to.
+    pub(super) planned_fingerprint: Option<u64>,
+    /// The last target repeated in a heartbeat, where the rotation continues.
+    pub(super) repeat_cursor: Option<TargetName>,
     has_list: bool,
     cross_domain_calls: u64,
     ejections: u64,
 }
 
 impl TargetTable {
-    /// A table without targets.
+    /// Creates an empty table.
     pub fn new(
         options: TargetOptions,
         me: RouterIncarnation,
@@ -45,18 +45,17 @@
             me,
             domain,
             entries: BTreeMap::new(),
-            early: BTreeMap::new(),
-            planned_for: None,
-            news_cursor: None,
+            early_updates: BTreeMap::new(),
+            planned_fingerprint: None,
+            repeat_cursor: None,
             has_list: false,
             cross_domain_calls: 0,
             ejections: 0,
         }
     }
 
-    /// Takes the hosts of one or more domains, each domain's list whole. A domain that is not among
-    /// the records keeps what is known: an empty list is a fault of the platform more likely than
-    /// the end of every host.
+    /// Applies the complete host lists of one or more domains. Domains without records stay
+    /// unchanged: an empty list is more likely a platform fault than the loss of all hosts.
     pub fn on_hosts(&mut self, now: ClockTime, hosts: &[HostRecord], outbox: &mut CoreOutbox) {
         let mut listed = BTreeSet::new();
         let domains: BTreeSet<&DomainName> = hosts.iter().map(|record| &record.domain).collect();
@@ -76,11 +75,11 @@
             }
         }
         self.has_list |= domains.contains(&self.domain);
-        self.planned_for = None;
+        self.planned_fingerprint = None;
         self.mark_replaced();
     }
 
-    /// A call was sent to `target`.
+    /// Records that a call was sent to `target`.
     pub fn started(&mut self, now: ClockTime, target: &TargetName, prefix: &[u64], work: CallWork) {
         let Some(entry) = self.entries.get_mut(target) else {
             return;
@@ -92,7 +91,7 @@
         }
     }
 
-    /// The first byte of an answer came `latency_ms` after the call was sent.
+    /// Records the first byte of an answer, `latency_ms` after the call was sent.
     pub fn first_byte(&mut self, now: ClockTime, target: &TargetName, latency_ms: u64) {
         let Some(entry) = self.entries.get_mut(target) else {
             return;
@@ -102,26 +101,26 @@
         self.eject_slow(now, target);
     }
 
-    /// An answer ended, whole or not, or its caller hung up.
+    /// Records that an answer ended, was cut off or was cancelled by its caller.
     pub fn ended(&mut self, now: ClockTime, target: &TargetName) {
         if let Some(entry) = self.entries.get_mut(target) {
             entry.load.ended(now);
         }
     }
 
-    /// An attempt failed before its first byte was relayed.
+    /// Records an attempt that failed before its first byte was relayed.
     pub fn failed(&mut self, now: ClockTime, target: &TargetName, failure: AttemptFailure) {
         let Some(entry) = self.entries.get_mut(target) else {
             return;
         };
         entry.load.ended(now);
-        entry.probe.hurry(now, &self.options);
+        entry.probe.request_probe(now, &self.options);
         if entry.outlier.failed(now, failure, &self.options) {
             self.try_eject(now, target);
         }
     }
 
-    /// What is known of each listed target.
+    /// The status of each listed target.
     pub fn status(&self, now: ClockTime) -> Vec<TargetStatus> {
         self.entries
             .values()
@@ -136,7 +135,8 @@
             .collect()
     }
 
-    /// Ejects a target unless too many of its service are ejected already. Tells whether it did.
+    /// Ejects a target unless too many of its service are ejected already. Returns whether it was
+    /// ejected.
     fn try_eject(&mut self, now: ClockTime, target: &TargetName) -> bool {
         let Some(entry) = self.entries.get(target) else {
             return false;
@@ -146,8 +146,8 @@
             .iter()
             .filter(|peer| peer.outlier.is_ejected(now))
             .count() as u64;
-        // When targets fail because of something that they share, ejecting one after the other
-        // would leave a few with all the load, and those would fail for that reason alone.
+        // When targets fail for a common reason, ejecting one after the other would leave all load
+        // to a few, which would then fail because of that load.
         let allowed = peers.len() as u64 * self.options.eject_share_permille / 1_000;
         if ejected >= allowed {
             return false;
@@ -171,13 +171,13 @@
         let mut others: Vec<f64> = self
             .siblings_of(now, entry)
             .filter(|peer| peer.target != entry.target && is_measured(peer))
-            .map(|peer| peer.load.slowness())
+            .map(|peer| peer.load.slowdown())
             .collect();
         others.sort_by(f64::total_cmp);
         let Some(median) = others.get(others.len() / 2) else {
             return;
         };
-        if entry.load.slowness() > median * self.options.slow_ratio {
+        if entry.load.slowdown() > median * self.options.slow_ratio {
             self.try_eject(now, target);
         }
     }
@@ -206,12 +206,13 @@
         let is_first = !self.has_list;
         let entry = self.entries.entry(target.clone()).or_insert_with(|| {
             let mut entry = TargetEntry::new(record, service, options);
-            // All targets are new to a router that just started; none of them is cold for that.
-            entry.fresh_since = (!is_first).then_some(now);
+            // All targets are new to a router that just started, but that does not mean their
+            // caches are cold.
+            entry.slow_start_since = (!is_first).then_some(now);
             entry
         });
         if record.epoch < entry.epoch {
-            // The list is older than one seen before: it tells of a host that was replaced since.
+            // The list is older than one already applied and shows a host that has been replaced.
             return;
         }
         if record.epoch > entry.epoch {
@@ -221,20 +222,20 @@
         entry.listed = Some(record.state);
         entry.address = record.address.clone();
         entry.service = service.clone();
-        if let Some(news) = self.early.remove(target) {
-            if news.epoch == entry.epoch {
-                entry.merge_news(now, &news, options);
-            } else if news.epoch > entry.epoch {
-                self.early.insert(target.clone(), news);
+        if let Some(update) = self.early_updates.remove(target) {
+            if update.epoch == entry.epoch {
+                entry.merge_update(now, &update, options);
+            } else if update.epoch > entry.epoch {
+                self.early_updates.insert(target.clone(), update);
             }
         }
-        if record.state == HostState::Leaving && entry.word.observe(HostState::Leaving) {
-            entry.tell_urgently();
+        if record.state == HostState::Leaving && entry.agreed.observe(HostState::Leaving) {
+            entry.announce_urgently();
             outbox.act(state_line("target_leaving", entry));
         }
     }
 
-    /// Finds targets whose place was taken by another host.
+    /// Marks targets whose name or address was taken over by another host.
     pub(super) fn mark_replaced(&mut self) {
         let mut latest: BTreeMap<String, u64> = BTreeMap::new();
         for entry in self.entries.values().filter(|entry| entry.listed.is_some()) {
@@ -242,43 +243,43 @@
             *epoch = entry.epoch.max(*epoch);
         }
         for entry in self.entries.values_mut() {
-            // Two names at one address: the lagging list still shows the host that was there
-            // before. Its calls would reach the new host, which may serve something else.
+            // Two names share an address: the delayed list still shows the previous host. Calls to
+            // it would reach the new host, which may serve something else.
             let is_address_taken = latest
                 .get(&entry.address)
                 .is_some_and(|epoch| *epoch > entry.epoch);
             let is_known_later = self
-                .early
+                .early_updates
                 .get(&entry.target)
-                .is_some_and(|news| news.epoch > entry.epoch);
+                .is_some_and(|update| update.epoch > entry.epoch);
             entry.replaced = is_address_taken || is_known_later;
         }
     }
 
-    /// Forgets targets that were not listed for long and have no calls.
-    pub(super) fn forget_old(&mut self, now: ClockTime) {
-        let forget_ms = self.options.forget_ms;
+    /// Removes targets that have been unlisted for the retention time and have no calls.
+    pub(super) fn remove_expired(&mut self, now: ClockTime) {
+        let unlisted_retention_ms = self.options.unlisted_retention_ms;
         self.entries.retain(|_, entry| {
             entry.listed.is_some()
                 || entry.load.in_flight() > 0
-                || now.since(entry.unlisted_since) < forget_ms
+                || now.since(entry.unlisted_since) < unlisted_retention_ms
         });
     }
 
-    /// Ends ejections and slow starts whose time is over.
+    /// Ends ejections and slow starts whose time has passed.
     pub(super) fn refresh_entries(&mut self, now: ClockTime) {
         for entry in self.entries.values_mut() {
-            if entry.outlier.take_returned(now) {
-                entry.load.forget_speed();
-                entry.fresh_since = Some(now);
+            if entry.outlier.take_expired_ejection(now) {
+                entry.load.reset_speed();
+                entry.slow_start_since = Some(now);
             }
-            if entry.warmth(now, &self.options) >= 1.0 {
-                entry.fresh_since = None;
+            if entry.slow_start_share(now, &self.options) >= 1.0 {
+                entry.slow_start_since = None;
             }
         }
     }
 
-    /// Reports what was counted since the last time.
+    /// Reports the counts since the last report.
     pub(super) fn report_counts(&mut self, outbox: &mut CoreOutbox) {
         let counts = [
             (CounterName::CrossDomain, &mut self.cross_domain_calls),
@@ -296,7 +297,7 @@
     }
 }
 
-/// A log line about a target.
+/// Creates a log line about a target.
 pub(super) fn state_line(event: &'static str, entry: &TargetEntry) -> ReportAction {
     ReportAction::Log(LogLine {
         level: LogLevel::Info,
