--- a/crates/beechsaddle-core/tests/admission_limits.rs
+++ b/crates/beechsaddle-core/tests/admission_limits.rs
@@ -1,8 +1,8 @@
-//! Limits that routers share, deadlines and shedding.
+//! Shared limits, deadlines and load shedding.
 
 mod routing_support;
 
-use beechsaddle_core::admission::{AdmissionGate, AdmissionOptions, AdmissionPass, CallFacts};
+use beechsaddle_core::admission::{AdmissionGate, AdmissionInput, AdmissionOptions, AdmissionPass};
 use beechsaddle_core::catalogue::{EntryClass, EntryLimits, ServiceEntry, WorkspaceEntry};
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::targets::ServiceLoad;
@@ -15,8 +15,8 @@
     tokens_per_minute: None,
 };
 
-fn facts<'a>(workspace: &'a WorkspaceEntry, service: &'a ServiceEntry) -> CallFacts<'a> {
-    CallFacts {
+fn input<'a>(workspace: &'a WorkspaceEntry, service: &'a ServiceEntry) -> AdmissionInput<'a> {
+    AdmissionInput {
         workspace,
         service,
         model: None,
@@ -33,7 +33,7 @@
     gate
 }
 
-/// Routers that exchange their uses every half second, 5 ms away.
+/// Routers that exchange their use every 500 ms with a delay of 5 ms.
 struct LimitDomain {
     gates: Vec<AdmissionGate>,
 }
@@ -47,13 +47,13 @@
 
     fn exchange(&mut self, now: ClockTime) {
         let count = self.gates.len();
-        let told: Vec<_> = self
+        let updates: Vec<_> = self
             .gates
             .iter_mut()
             .map(|gate| gate.take_limits(now))
             .collect();
         for (to, gate) in self.gates.iter_mut().enumerate() {
-            for (from, uses) in told.iter().enumerate().filter(|(from, _)| *from != to) {
+            for (from, uses) in updates.iter().enumerate().filter(|(from, _)| *from != to) {
                 gate.on_limits(now.plus_ms(5), &router(from), uses);
             }
             gate.tick(now, &members(to, count));
@@ -63,8 +63,8 @@
 
 #[test]
 fn admit_noisy_and_quiet_workspace() {
-    // One workspace sends fifty times what its limit allows. It is refused with its own reason; the
-    // quiet one beside it, on the same router and service, must not notice.
+    // One workspace sends fifty times its limit and is refused for it. Another workspace on the
+    // same router and service must not be affected.
     let limits = EntryLimits {
         requests_per_second: Some(10),
         ..NO_LIMITS
@@ -75,13 +75,13 @@
     let mut admitted = 0;
     for step in 0..1_000 {
         let now = at(step * 2);
-        if let Ok(pass) = gate.admit(now, &facts(&noisy, &service)) {
+        if let Ok(pass) = gate.admit(now, &input(&noisy, &service)) {
             admitted += 1;
             gate.ended(now, pass, 10);
         }
         if step % 100 == 0 {
             let pass = gate
-                .admit(now, &facts(&quiet, &service))
+                .admit(now, &input(&quiet, &service))
                 .expect("within its limit");
             gate.ended(now, pass, 10);
         }
@@ -93,10 +93,10 @@
 }
 
 #[test]
-fn admit_requests_shared_over_routers() {
-    // Four routers share 100 calls a second. All demand comes to one of them, then a second one is
-    // asked for as much, then the first falls silent. No phase may leave most of the limit unused,
-    // and no change may let two routers use the same part of it.
+fn admit_request_rate_shared_by_routers() {
+    // Four routers share 100 calls per second. All demand arrives at one of them, then also at a
+    // second, then only at the second. No phase may leave most of the limit unused, and no change
+    // may let two routers use the same part of it.
     let limits = EntryLimits {
         requests_per_second: Some(100),
         ..NO_LIMITS
@@ -118,7 +118,7 @@
             _ => 1..2,
         };
         for gate in &mut domain.gates[busy] {
-            if let Ok(pass) = gate.admit(now, &facts(&workspace, &service)) {
+            if let Ok(pass) = gate.admit(now, &input(&workspace, &service)) {
                 gate.ended(now, pass, 10);
                 by_second[(step / 1_000) as usize] += 1;
             }
@@ -134,9 +134,9 @@
 }
 
 #[test]
-fn admit_concurrency_shared_over_routers() {
-    // Four routers share ten calls at a time and all are asked for more. Rounding may add at most
-    // one call a router.
+fn admit_concurrency_shared_by_routers() {
+    // Four routers share ten concurrent calls and all have more demand. Rounding may add at most
+    // one call per router.
     let limits = EntryLimits {
         concurrency: Some(10),
         ..NO_LIMITS
@@ -151,7 +151,7 @@
             domain.exchange(now);
         }
         for number in 0..4 {
-            if let Ok(pass) = domain.gates[number].admit(now, &facts(&workspace, &service)) {
+            if let Ok(pass) = domain.gates[number].admit(now, &input(&workspace, &service)) {
                 open.push((number, pass));
             }
         }
@@ -161,14 +161,14 @@
             domain.gates[number].ended(now, pass, 10);
         }
     }
-    assert!((10..=13).contains(&most), "{most} calls at a time");
+    assert!((10..=13).contains(&most), "{most} concurrent calls");
 }
 
 #[test]
-fn admit_concurrency_demand_moves() {
-    // One router runs nearly all of an entry's 40 calls, each for five seconds, when as many are
-    // asked for at another. Its share falls at once, but what runs is not cut; the other may not
-    // use a part that is still in use.
+fn admit_concurrency_demand_shifts() {
+    // One router runs nearly all of an entry's 40 calls, five seconds each, when the demand moves
+    // to another router. The first share falls at once, but running calls are not cancelled, and
+    // the second router must not use the part still in use.
     let limits = EntryLimits {
         concurrency: Some(40),
         ..NO_LIMITS
@@ -184,7 +184,7 @@
         }
         let busy = usize::from(step >= 150);
         for _ in 0..4 {
-            if let Ok(pass) = domain.gates[busy].admit(now, &facts(&workspace, &service)) {
+            if let Ok(pass) = domain.gates[busy].admit(now, &input(&workspace, &service)) {
                 open.push((step + 100, busy, pass));
             }
         }
@@ -194,25 +194,26 @@
         }
         most = most.max(open.len());
     }
-    assert!((30..=43).contains(&most), "{most} calls at a time");
+    assert!((30..=43).contains(&most), "{most} concurrent calls");
 }
 
 #[test]
 fn admit_concurrency_below_router_count() {
-    // A limit of two over eight routers: whichever router the balancer picks has to take a call.
+    // A concurrency limit of two over eight routers: any router that the load balancer selects must
+    // admit a call.
     let limits = EntryLimits {
         concurrency: Some(2),
         ..NO_LIMITS
     };
     let (workspace, service) = (workspace("w", limits), service(NO_LIMITS));
     let mut gate = gate(8, 5);
-    assert!(gate.admit(at(1), &facts(&workspace, &service)).is_ok());
+    assert!(gate.admit(at(1), &input(&workspace, &service)).is_ok());
 }
 
 #[test]
 fn admit_tokens_over_limit() {
-    // Bounds are far above what calls use. The bucket goes by what calls use, and a caller that is
-    // refused and comes back when it was told to is admitted.
+    // Bounds are far above actual use. The bucket is charged actual use, and a refused caller that
+    // retries at the given time is admitted.
     let limits = EntryLimits {
         tokens_per_minute: Some(6_000),
         ..NO_LIMITS
@@ -223,9 +224,9 @@
     let mut refused = None;
     for step in 0..600 {
         let now = at(step * 100);
-        let call = CallFacts {
+        let call = AdmissionInput {
             tokens: 1_000,
-            ..facts(&workspace, &service)
+            ..input(&workspace, &service)
         };
         match gate.admit(now, &call) {
             Ok(pass) => {
@@ -239,14 +240,14 @@
     let (now, refusal) = refused.expect("the limit was reached");
     assert_eq!(refusal.reason, RefusalReason::TokenRateLimit);
     assert_eq!(refusal.ran, RanState::No);
-    let back = now.plus_ms(refusal.retry_after_ms.expect("coming back helps"));
-    assert!(gate.admit(back, &facts(&workspace, &service)).is_ok());
+    let back = now.plus_ms(refusal.retry_after_ms.expect("a retry time"));
+    assert!(gate.admit(back, &input(&workspace, &service)).is_ok());
 }
 
 #[test]
-fn admit_refused_callers_return_spread() {
-    // Fifty callers are refused in one moment. Told the same time, they would all come back to one
-    // free slot. Each comes back when told, and nearly all are admitted.
+fn admit_refused_callers_get_distinct_retry_slots() {
+    // Fifty callers are refused at once. With equal retry times they would all compete for one free
+    // slot; with distinct ones nearly all are admitted.
     let limits = EntryLimits {
         requests_per_second: Some(10),
         ..NO_LIMITS
@@ -255,9 +256,9 @@
     let mut gate = gate(1, 0);
     let mut returns = Vec::new();
     for _ in 0..60 {
-        match gate.admit(at(0), &facts(&workspace, &service)) {
+        match gate.admit(at(0), &input(&workspace, &service)) {
             Ok(pass) => gate.ended(at(0), pass, 10),
-            Err(refusal) => returns.push(refusal.retry_after_ms.expect("coming back helps")),
+            Err(refusal) => returns.push(refusal.retry_after_ms.expect("a retry time")),
         }
     }
     assert_eq!(returns.len(), 50);
@@ -266,26 +267,26 @@
         .iter()
         .filter(|span_ms| {
             let now = at(**span_ms);
-            let pass = gate.admit(now, &facts(&workspace, &service));
+            let pass = gate.admit(now, &input(&workspace, &service));
             pass.map(|pass| gate.ended(now, pass, 10)).is_ok()
         })
         .count();
     assert!(
         admitted >= 45,
-        "{admitted} of 50 were admitted when they came back"
+        "{admitted} of 50 callers were admitted on retry"
     );
 }
 
 #[test]
 fn admit_sheds_lowest_class_first() {
-    // Load grows until the router is full. Every batch call is shed before the first standard one,
-    // and every standard one before the first critical one.
+    // Load rises until the router is full. All batch calls must be shed before the first standard
+    // call, and all standard calls before the first critical one.
     let (workspace, service) = (workspace("w", NO_LIMITS), service(NO_LIMITS));
     let mut last_full = [None; 3];
     let mut first_shed = [None; 3];
     for waiting in 0..=110_u32 {
         let mut gate = gate(1, 0);
-        for (place, class) in [
+        for (index, class) in [
             EntryClass::Batch,
             EntryClass::Standard,
             EntryClass::Critical,
@@ -300,20 +301,20 @@
                 first_token_ms: None,
             };
             for _ in 0..40 {
-                let call = CallFacts {
+                let call = AdmissionInput {
                     class,
                     load,
-                    ..facts(&workspace, &service)
+                    ..input(&workspace, &service)
                 };
                 match gate.admit(at(1), &call) {
                     Ok(pass) => {
-                        last_full[place] = Some(waiting);
+                        last_full[index] = Some(waiting);
                         gate.ended(at(2), pass, 1);
                     }
                     Err(refusal) => {
                         assert_eq!(refusal.reason, RefusalReason::Overloaded);
                         assert_eq!(refusal.ran, RanState::No);
-                        first_shed[place].get_or_insert(waiting);
+                        first_shed[index].get_or_insert(waiting);
                     }
                 }
             }
@@ -325,14 +326,15 @@
 
 #[test]
 fn admit_open_calls_bounded() {
-    // Targets hang and calls pile up at the router, whose memory is small. It refuses before that.
+    // Targets hang and calls accumulate at the router, which must refuse new ones before its small
+    // memory is exhausted.
     let (workspace, service) = (workspace("w", NO_LIMITS), service(NO_LIMITS));
     let mut gate = gate(1, 0);
     let mut passes = Vec::new();
     for _ in 0..5_000 {
-        let call = CallFacts {
+        let call = AdmissionInput {
             class: EntryClass::Critical,
-            ..facts(&workspace, &service)
+            ..input(&workspace, &service)
         };
         passes.extend(gate.admit(at(1), &call));
     }
@@ -341,8 +343,8 @@
 
 #[test]
 fn admit_deadline_cannot_be_met() {
-    // The first token is 900 ms away and the caller gives up in 500: the answer would reach nobody
-    // and take an engine's time from a caller that still waits.
+    // The first token takes 900 ms and the caller gives up after 500 ms: the answer would be wasted
+    // and use engine time that another caller needs.
     let (workspace, service) = (workspace("w", NO_LIMITS), service(NO_LIMITS));
     let mut gate = gate(1, 0);
     let load = ServiceLoad {
@@ -351,22 +353,26 @@
         waiting: 9,
         first_token_ms: Some(900),
     };
-    let call = |deadline| CallFacts {
+    let call = |deadline| AdmissionInput {
         deadline: Some(at(deadline)),
         load,
-        ..facts(&workspace, &service)
+        ..input(&workspace, &service)
     };
-    let refusal = gate.admit(at(0), &call(500)).expect_err("it cannot be met");
+    let refusal = gate
+        .admit(at(0), &call(500))
+        .expect_err("the deadline cannot be met");
     assert_eq!(refusal.reason, RefusalReason::DeadlineExceeded);
     assert_eq!(refusal.ran, RanState::No);
     assert!(gate.admit(at(0), &call(1_000)).is_ok());
-    let refusal = gate.admit(at(0), &call(0)).expect_err("it is over");
+    let refusal = gate
+        .admit(at(0), &call(0))
+        .expect_err("the deadline has passed");
     assert_eq!(refusal.retry_after_ms, None);
 }
 
 #[test]
 fn admit_refused_holds_nothing() {
-    // The workspace's limit has room, the service's has none. The refused call must not use up the
+    // The workspace's limit has room but the service's has none. The refused call must not use the
     // workspace's limit.
     let limits = EntryLimits {
         concurrency: Some(1),
@@ -376,19 +382,19 @@
     let service = service(limits);
     let mut gate = gate(1, 0);
     let pass = gate
-        .admit(at(0), &facts(&first, &service))
-        .expect("both have room");
+        .admit(at(0), &input(&first, &service))
+        .expect("both limits have room");
     let refusal = gate
-        .admit(at(1), &facts(&second, &service))
+        .admit(at(1), &input(&second, &service))
         .expect_err("the service is full");
     assert_eq!(refusal.reason, RefusalReason::ConcurrencyLimit);
     gate.ended(at(2), pass, 10);
-    assert!(gate.admit(at(3), &facts(&second, &service)).is_ok());
+    assert!(gate.admit(at(3), &input(&second, &service)).is_ok());
 }
 
 #[test]
-fn take_limits_quiet_entries_silent() {
-    // Thousands of workspaces far below their limits cost no byte of a heartbeat.
+fn take_limits_omits_entries_below_floor() {
+    // Thousands of workspaces far below their limits must add no bytes to a heartbeat.
     let limits = EntryLimits {
         requests_per_second: Some(1_000),
         ..NO_LIMITS
@@ -398,8 +404,8 @@
     for number in 0..1_000 {
         let workspace = workspace(&format!("w{number}"), limits);
         let pass = gate
-            .admit(at(0), &facts(&workspace, &service))
-            .expect("it has room");
+            .admit(at(0), &input(&workspace, &service))
+            .expect("within its limit");
         gate.ended(at(0), pass, 10);
     }
     assert_eq!(gate.take_limits(at(1)), []);
@@ -407,7 +413,8 @@
 
 #[test]
 fn ended_random_histories() {
-    // Whatever the order of admissions and ends, no more than the limit runs and all is given back.
+    // In any order of admissions and ends, concurrency stays within the limit and is fully
+    // released.
     fn holds(steps: Vec<bool>, limit: u8) -> TestResult {
         let limits = EntryLimits {
             concurrency: Some(u32::from(limit)),
@@ -419,12 +426,12 @@
         for (number, is_call) in steps.into_iter().enumerate() {
             let now = at(number as u64);
             if is_call {
-                open.extend(gate.admit(now, &facts(&workspace, &service)));
+                open.extend(gate.admit(now, &input(&workspace, &service)));
             } else if let Some(pass) = open.pop() {
                 gate.ended(now, pass, 1);
             }
             if open.len() > usize::from(limit) {
-                return TestResult::error(format!("{} run", open.len()));
+                return TestResult::error(format!("{} calls running", open.len()));
             }
         }
         TestResult::from_bool(gate.open_calls() as usize == open.len())
--- a/crates/beechsaddle-core/tests/catalogue_spread.rs
+++ b/crates/beechsaddle-core/tests/catalogue_spread.rs
@@ -6,7 +6,7 @@
 
 use beechsaddle_core::catalogue::{CatalogueDesk, CatalogueOptions};
 use beechsaddle_core::members::{
-    HeartbeatNews, MemberDesk, MemberLiveness, MemberOptions, MemberTable,
+    HeartbeatUpdate, MemberLiveness, MemberManager, MemberOptions, MemberTable,
 };
 use beechsaddle_core::peer::PeerMessage;
 use beechsaddle_core::platform::{PlatformCall, PlatformDuty, PlatformReply, PlatformTicket};
@@ -30,7 +30,7 @@
 const APPLIED_AT: u64 = 10_000;
 
 struct FleetRouter {
-    members: MemberDesk,
+    members: MemberManager,
     catalogue: CatalogueDesk,
     /// Waiting watches, each with its begin.
     watches: Vec<(u64, PlatformTicket, PlatformCall)>,
@@ -57,7 +57,7 @@
             let domain = DomainName::new(domain);
             let options = MemberOptions::default();
             FleetRouter {
-                members: MemberDesk::new(options, me.clone(), domain, address(&host)),
+                members: MemberManager::new(options, me.clone(), domain, address(&host)),
                 catalogue: CatalogueDesk::new(CatalogueOptions::default(), me),
                 watches: Vec::new(),
                 in_force_at: None,
@@ -110,11 +110,13 @@
             let members = fleet_router.members.table();
             fleet_router.catalogue.tick(at(now), members, &mut outbox);
             if fleet_router.members.is_heartbeat_due(at(now)) {
-                let news = HeartbeatNews {
+                let news = HeartbeatUpdate {
                     catalogue_revision: fleet_router.catalogue.view().revision(),
-                    ..HeartbeatNews::default()
+                    ..HeartbeatUpdate::default()
                 };
-                fleet_router.members.beat(at(now), news, &mut outbox);
+                fleet_router
+                    .members
+                    .send_heartbeat(at(now), news, &mut outbox);
             }
             fleet_router.members.tick(at(now), &mut outbox);
             self.carry_out(index, now, outbox);
--- a/crates/beechsaddle-core/tests/choice_support/mod.rs
+++ b/crates/beechsaddle-core/tests/choice_support/mod.rs
@@ -1,4 +1,4 @@
-//! Four engines of one domain, and the choice between them.
+//! Four engines of one domain and the choice between them.
 
 #![allow(dead_code)]
 
@@ -10,13 +10,12 @@
 };
 use beechsaddle_core::prelude::*;
 
-/// When everything happens.
+/// The time of all events.
 pub const START: ClockTime = ClockTime::from_millis(1_000_000);
 
-/// The engines.
 pub const NAMES: [&str; 4] = ["e1", "e2", "e3", "e4"];
 
-/// The engines, of which nothing is known.
+/// A roster of the engines without known state.
 pub fn roster() -> TargetRoster {
     let mut roster = TargetRoster::default();
     let records = NAMES.iter().map(|name| TargetRecord {
@@ -34,13 +33,13 @@
     roster
 }
 
-/// What is seen of an engine.
-pub fn gauge<'a>(roster: &'a mut TargetRoster, name: &str) -> &'a mut TargetGauge {
-    let gauge = roster.gauge_mut(&TargetName::new(name));
-    gauge.expect("a target")
+/// The stats of an engine.
+pub fn stats<'a>(roster: &'a mut TargetRoster, name: &str) -> &'a mut TargetGauge {
+    let stats = roster.gauge_mut(&TargetName::new(name));
+    stats.expect("a target")
 }
 
-/// The choice for a prompt, and for a request that may crash its target.
+/// Chooses a target for a prompt, and for a request suspected of crashing its target.
 pub fn choose(
     roster: &TargetRoster,
     shared: Option<&str>,
@@ -67,7 +66,6 @@
     choose_target(roster, START, input)
 }
 
-/// The name of the chosen engine.
 pub fn chosen(roster: &TargetRoster, shared: Option<&str>, suspect: Option<&str>) -> String {
     let choice = choose(roster, shared, suspect).expect("a choice");
     choice.target.to_string()
--- a/crates/beechsaddle-core/tests/gateway_limited_choice.rs
+++ b/crates/beechsaddle-core/tests/gateway_limited_choice.rs
@@ -2,7 +2,7 @@
 
 mod choice_support;
 
-use choice_support::{NAMES, START, choose, chosen, gauge, roster};
+use choice_support::{NAMES, START, choose, chosen, roster, stats};
 
 /// Guards against a target in need that stays the place of what many requests share.
 #[test]
@@ -10,7 +10,7 @@
     for shared in ["a", "b", "c", "d"] {
         let mut roster = roster();
         let home = chosen(&roster, Some(shared), None);
-        gauge(&mut roster, &home)
+        stats(&mut roster, &home)
             .limit
             .note(START, Some(1.0), START);
         let choice = choose(&roster, Some(shared), None).expect("a choice");
@@ -19,7 +19,7 @@
     }
     let mut roster = roster();
     for name in NAMES {
-        gauge(&mut roster, name).limit.note(START, Some(1.0), START);
+        stats(&mut roster, name).limit.note(START, Some(1.0), START);
     }
     let choice = choose(&roster, Some("a"), None).expect("a choice");
     assert!(
@@ -33,10 +33,10 @@
 fn paused_target_is_never_chosen() {
     let mut roster = roster();
     for name in NAMES {
-        let gauge = gauge(&mut roster, name);
-        gauge.limit.note(START, Some(1.0), START);
-        gauge.limit.note_refused(START, 500);
-        gauge.eject(START);
+        let stats = stats(&mut roster, name);
+        stats.limit.note(START, Some(1.0), START);
+        stats.limit.note_refused(START, 500);
+        stats.eject(START);
     }
     assert_eq!(choose(&roster, Some("a"), None), None);
     assert_eq!(choose(&roster, None, Some("print")), None);
--- a/crates/beechsaddle-core/tests/gateway_suspect_choice.rs
+++ b/crates/beechsaddle-core/tests/gateway_suspect_choice.rs
@@ -3,14 +3,14 @@
 mod choice_support;
 
 use beechsaddle_core::gateway::AttemptLoad;
-use choice_support::{NAMES, chosen, gauge, roster};
+use choice_support::{NAMES, chosen, roster, stats};
 
 /// Guards against a request that may crash its target and takes the most loaded one with it.
 #[test]
 fn suspect_goes_where_least_runs() {
     let mut roster = roster();
     for name in ["e1", "e2", "e4"] {
-        gauge(&mut roster, name).start(AttemptLoad::default());
+        stats(&mut roster, name).start(AttemptLoad::default());
     }
     for shared in ["a", "b", "c", "d"] {
         assert_eq!(chosen(&roster, Some(shared), Some("print")), "e3");
@@ -36,7 +36,7 @@
     for shared in ["a", "b", "c", "d"] {
         let mut roster = roster();
         let home = chosen(&roster, Some(shared), None);
-        gauge(&mut roster, &home).suspects += 1;
+        stats(&mut roster, &home).suspects += 1;
         assert_ne!(chosen(&roster, Some(shared), None), home);
     }
 }
--- a/crates/beechsaddle-core/tests/members_support/mod.rs
+++ b/crates/beechsaddle-core/tests/members_support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of membership and the catalogue share.
+//! Shared by the tests of membership and the catalogue.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -10,8 +10,8 @@
     EntryLimits, ServiceEntry, ServiceKind,
 };
 use beechsaddle_core::members::{
-    HeartbeatNews, HostList, HostRecord, HostRole, HostState, MemberDesk, MemberEntry,
-    MemberLiveness, MemberOptions, MemberTable, SeedPeer,
+    HeartbeatUpdate, HostList, HostRecord, HostRole, HostState, MemberEntry, MemberLiveness,
+    MemberManager, MemberOptions, MemberTable, SeedPeer,
 };
 use beechsaddle_core::objects::PlatformObject;
 use beechsaddle_core::peer::{PeerHeartbeat, PeerMessage, RouterState};
@@ -30,7 +30,7 @@
     format!("{host}:7102")
 }
 
-pub fn desk(host: &str, domain: &str, seeds: &[(&str, &str)]) -> MemberDesk {
+pub fn manager(host: &str, domain: &str, seeds: &[(&str, &str)]) -> MemberManager {
     let seeds = seeds.iter().map(|(host, domain)| SeedPeer {
         host: HostName::new(host),
         domain: DomainName::new(domain),
@@ -41,7 +41,7 @@
         ..MemberOptions::default()
     };
     let domain = DomainName::new(domain);
-    MemberDesk::new(options, router(host, 1), domain, address(host))
+    MemberManager::new(options, router(host, 1), domain, address(host))
 }
 
 pub fn heartbeat(host: &str, domain: &str, sequence: u64, state: RouterState) -> PeerHeartbeat {
@@ -58,33 +58,36 @@
     }
 }
 
-/// Lets a desk hear a live router.
-pub fn hear(
-    desk: &mut MemberDesk,
+/// Delivers a heartbeat of a live router to a manager.
+pub fn receive_heartbeat(
+    manager: &mut MemberManager,
     now: u64,
     from: &RouterIncarnation,
     domain: &str,
     sequence: u64,
 ) {
     let heartbeat = heartbeat(from.host.as_str(), domain, sequence, RouterState::Live);
-    desk.on_peer(at(now), from, &heartbeat, &mut CoreOutbox::new());
+    manager.on_peer(at(now), from, &heartbeat, &mut CoreOutbox::new());
 }
 
-/// Ticks a desk every 50 ms from `from` to `until` and gives the signals.
-pub fn tick_through(desk: &mut MemberDesk, from: u64, until: u64) -> Vec<CoreSignal> {
+/// Ticks a manager every 50 ms from `from` to `until` and returns the signals.
+pub fn tick_through(manager: &mut MemberManager, from: u64, until: u64) -> Vec<CoreSignal> {
     let mut outbox = CoreOutbox::new();
     let mut now = from;
     while now <= until {
-        desk.tick(at(now), &mut outbox);
+        manager.tick(at(now), &mut outbox);
         now += 50;
     }
     outbox.signals.into_iter().collect()
 }
 
-/// Sends one heartbeat and gives the receivers with what they get.
-pub fn beat(desk: &mut MemberDesk, now: u64) -> Vec<(RouterIncarnation, String, PeerHeartbeat)> {
+/// Sends one heartbeat and returns its receivers with their messages.
+pub fn send_heartbeat(
+    manager: &mut MemberManager,
+    now: u64,
+) -> Vec<(RouterIncarnation, String, PeerHeartbeat)> {
     let mut outbox = CoreOutbox::new();
-    desk.beat(at(now), HeartbeatNews::default(), &mut outbox);
+    manager.send_heartbeat(at(now), HeartbeatUpdate::default(), &mut outbox);
     let messages = outbox
         .actions
         .into_iter()
@@ -143,7 +146,7 @@
     }
 }
 
-/// The platform calls among actions.
+/// The platform calls among the actions.
 pub fn platform_calls(outbox: &CoreOutbox) -> Vec<(PlatformTicket, PlatformCall)> {
     let calls = outbox.actions.iter().filter_map(|action| match action {
         CoreAction::Platform { ticket, call } => Some((*ticket, call.clone())),
@@ -152,7 +155,7 @@
     calls.collect()
 }
 
-/// The messages to peers among actions.
+/// The peer messages among the actions.
 pub fn peer_messages(outbox: &CoreOutbox) -> Vec<(RouterIncarnation, PeerMessage)> {
     let messages = outbox.actions.iter().filter_map(|action| match action {
         CoreAction::Peer { to, message, .. } => Some((to.clone(), message.clone())),
@@ -171,7 +174,7 @@
             state: RouterState::Live,
             liveness: MemberLiveness::Live,
             catalogue_revision: *revision,
-            heard: ClockTime::ZERO,
+            last_seen_at: ClockTime::ZERO,
             sequence: 1,
         };
         table.insert(router(host, 1), entry);
@@ -194,7 +197,7 @@
     })
 }
 
-/// The change that makes a revision: the service `trznica` costs as many tokens as the revision.
+/// The change for a revision: the call cost of the service `trznica` equals the revision.
 pub fn change(revision: u64) -> CatalogueChange {
     CatalogueChange {
         revision,
@@ -239,7 +242,7 @@
     assert_eq!(text.lines().count(), golden.lines().count(), "{name}");
 }
 
-/// One line for what happened and one for each thing that followed.
+/// Appends one line for the event and one for each resulting action and signal.
 pub fn golden_lines(now: u64, event: &str, outbox: CoreOutbox, lines: &mut Vec<String>) {
     lines.push(format!("{now} {event}"));
     for action in &outbox.actions {
--- a/crates/beechsaddle-core/tests/money_world/world_types.rs
+++ b/crates/beechsaddle-core/tests/money_world/world_types.rs
@@ -63,7 +63,7 @@
         state: RouterState::Live,
         liveness: MemberLiveness::Live,
         catalogue_revision: 0,
-        heard: ClockTime::ZERO,
+        last_seen_at: ClockTime::ZERO,
         sequence: 0,
     }
 }
--- a/crates/beechsaddle-core/tests/once_support/router_node.rs
+++ b/crates/beechsaddle-core/tests/once_support/router_node.rs
@@ -45,7 +45,7 @@
             MemberLiveness::Down
         },
         catalogue_revision: 1,
-        heard: ClockTime::ZERO,
+        last_seen_at: ClockTime::ZERO,
         sequence: 1,
     }
 }
--- a/crates/beechsaddle-core/tests/orders_support/order_bench.rs
+++ b/crates/beechsaddle-core/tests/orders_support/order_bench.rs
@@ -98,7 +98,7 @@
             state: RouterState::Live,
             liveness,
             catalogue_revision: 1,
-            heard: ClockTime::ZERO,
+            last_seen_at: ClockTime::ZERO,
             sequence: 1,
         };
         self.nodes[node].members.insert(router, entry);
--- a/crates/beechsaddle-core/tests/retry_policy.rs
+++ b/crates/beechsaddle-core/tests/retry_policy.rs
@@ -1,16 +1,16 @@
-//! When a failed attempt is followed by another one.
+//! Decisions after a failed attempt.
 
 mod routing_support;
 
 use beechsaddle_core::admission::{
-    AttemptFacts, RetryBudget, RetryDecision, RetryOptions, RetryPolicy,
+    FailedAttempt, RetryBudget, RetryDecision, RetryOptions, RetryPolicy,
 };
 use beechsaddle_core::call::AttemptFailure;
 use beechsaddle_core::prelude::*;
 use quickcheck::{QuickCheck, TestResult};
 use routing_support::*;
 
-const FACTS: AttemptFacts = AttemptFacts {
+const FAILED_ATTEMPT: FailedAttempt = FailedAttempt {
     failure: AttemptFailure::ServerError,
     repeatable: true,
     first_byte_sent: false,
@@ -34,21 +34,21 @@
 #[test]
 fn decide_repeatable_failure() {
     let mut policy = policy();
-    assert_eq!(policy.decide(at(0), &FACTS), RetryDecision::Retry);
+    assert_eq!(policy.decide(at(0), &FAILED_ATTEMPT), RetryDecision::Retry);
 }
 
 #[test]
 fn decide_not_repeatable() {
-    // A payout confirmation whose connection broke may have run: a second attempt could pay twice.
-    // Only a connection that was never made leaves it unrun for certain.
+    // A payout confirmation whose connection broke may have been executed, and a second attempt
+    // could pay twice. Only a connection that was never established rules this out.
     let mut policy = policy();
     for failure in AttemptFailure::ALL {
-        let facts = AttemptFacts {
+        let attempt = FailedAttempt {
             failure,
             repeatable: false,
-            ..FACTS
+            ..FAILED_ATTEMPT
         };
-        let decision = policy.decide(at(0), &facts);
+        let decision = policy.decide(at(0), &attempt);
         if failure == AttemptFailure::ConnectFailed {
             assert_eq!(decision, RetryDecision::Retry);
             continue;
@@ -61,48 +61,48 @@
 
 #[test]
 fn decide_after_first_byte() {
-    // The caller has half an answer. Another target's answer would not continue it.
-    let facts = AttemptFacts {
+    // The caller has received part of an answer, which another target's answer would not continue.
+    let attempt = FailedAttempt {
         first_byte_sent: true,
-        ..FACTS
+        ..FAILED_ATTEMPT
     };
-    assert_eq!(policy().decide(at(0), &facts), RetryDecision::Abort);
+    assert_eq!(policy().decide(at(0), &attempt), RetryDecision::Abort);
 }
 
 #[test]
 fn decide_not_run_only_if_never_sent() {
-    // The last attempt could not connect, but an earlier one broke off after bytes were sent. "Not
-    // run" would be a lie, and the caller would send the call again in good faith.
-    let facts = AttemptFacts {
+    // The last attempt could not connect, but an earlier one failed after bytes were sent. "Not
+    // run" would be wrong, and the caller would safely assume that it may repeat the call.
+    let attempt = FailedAttempt {
         failure: AttemptFailure::ConnectFailed,
         attempts: 3,
         may_have_run: true,
-        ..FACTS
+        ..FAILED_ATTEMPT
     };
     assert_eq!(
-        refusal(policy().decide(at(0), &facts)).ran,
+        refusal(policy().decide(at(0), &attempt)).ran,
         RanState::Unknown
     );
-    let facts = AttemptFacts {
+    let attempt = FailedAttempt {
         may_have_run: false,
-        ..facts
+        ..attempt
     };
-    assert_eq!(refusal(policy().decide(at(0), &facts)).ran, RanState::No);
+    assert_eq!(refusal(policy().decide(at(0), &attempt)).ran, RanState::No);
 }
 
 #[test]
 fn decide_deadline_too_near() {
-    // Another attempt would answer after the caller has gone.
-    let facts = AttemptFacts {
+    // Another attempt would answer after the deadline of the caller.
+    let attempt = FailedAttempt {
         deadline: Some(at(100)),
         first_byte_ms: 200,
-        ..FACTS
+        ..FAILED_ATTEMPT
     };
-    let refusal = refusal(policy().decide(at(0), &facts));
+    let refusal = refusal(policy().decide(at(0), &attempt));
     assert_eq!(refusal.reason, RefusalReason::DeadlineExceeded);
 }
 
-/// Attempts for each call when this share of attempts fails, over ten seconds of 100 calls each.
+/// Attempts per call when the given share of attempts fails, over ten seconds with 100 calls each.
 fn amplification(failing_percent: u64) -> f64 {
     let mut policy = policy();
     let mut random = beechsaddle_core::random::SeededRandom::new(5);
@@ -110,13 +110,13 @@
     for call in 0..1_000 {
         let now = at(call * 10);
         policy.requested(now);
-        let mut facts = FACTS;
+        let mut attempt = FAILED_ATTEMPT;
         attempts += 1;
         while random.below(100) < failing_percent {
-            if policy.decide(now, &facts) != RetryDecision::Retry {
+            if policy.decide(now, &attempt) != RetryDecision::Retry {
                 break;
             }
-            facts.attempts += 1;
+            attempt.attempts += 1;
             attempts += 1;
         }
     }
@@ -124,21 +124,21 @@
 }
 
 #[test]
-fn decide_storm_amplification() {
-    // Every target fails. Three attempts for each call would triple the load on targets that
-    // already cannot carry it, and hold them down; the budget keeps it at a tenth more.
+fn decide_bounds_retry_amplification() {
+    // All targets fail. Three attempts per call would triple the load on overloaded targets and
+    // prevent their recovery; the budget limits it to a tenth more.
     for percent in [10, 50, 100] {
         let factor = amplification(percent);
         assert!(
             factor <= 1.11,
-            "{factor} attempts a call at {percent} % failing"
+            "{factor} attempts per call at {percent} % failures"
         );
     }
 }
 
 #[test]
-fn try_take_bound_in_any_history() {
-    // Retries never exceed their share of the requests of the span, or the floor, in any order.
+fn try_take_bounded_in_random_histories() {
+    // In any order, retries stay within their share of the requests in the window, or the floor.
     fn holds(steps: Vec<(bool, u8)>) -> TestResult {
         let mut budget = RetryBudget::new(100, 3);
         let (mut requests, mut retries) = (0_u64, 0_u64);
@@ -152,7 +152,7 @@
                 retries += 1;
             }
         }
-        // Histories stay below the ten seconds of the window, so the totals are those of it.
+        // Histories are shorter than the ten-second window, so totals equal the sums of the window.
         TestResult::from_bool(retries <= (requests / 10).max(3))
     }
     QuickCheck::new()
--- a/crates/beechsaddle-core/tests/routing_support/mod.rs
+++ b/crates/beechsaddle-core/tests/routing_support/mod.rs
@@ -30,7 +30,7 @@
     RouterIncarnation::new(format!("router-{number}").as_str(), 1)
 }
 
-/// The members as router `me` of `count` routers sees them.
+/// The member table of router `me` out of `count` routers.
 pub fn members(me: usize, count: usize) -> MemberTable {
     let mut table = MemberTable::new(router(me), DomainName::new(DOMAIN));
     for number in (0..count).filter(|number| *number != me) {
@@ -40,7 +40,7 @@
             state: RouterState::Live,
             liveness: MemberLiveness::Live,
             catalogue_revision: 1,
-            heard: at(0),
+            last_seen_at: at(0),
             sequence: 1,
         };
         table.insert(router(number), entry);
@@ -135,7 +135,7 @@
     }
 }
 
-/// The targets that a tick probes.
+/// The targets probed by a tick.
 pub fn probes(outbox: &CoreOutbox) -> Vec<TargetName> {
     outbox
         .actions
@@ -177,7 +177,7 @@
     }
 }
 
-/// A session of steps as JSON lines, compared with a golden file.
+/// Records a session as JSON lines and compares it with a golden file.
 #[derive(Default)]
 pub struct RoutingSession {
     lines: Vec<String>,
@@ -191,7 +191,7 @@
 }
 
 impl RoutingSession {
-    pub fn note(&mut self, now: ClockTime, step: &str, value: &impl Serialize) {
+    pub fn record(&mut self, now: ClockTime, step: &str, value: &impl Serialize) {
         let line = SessionLine {
             at: now,
             step,
--- a/crates/beechsaddle-core/tests/targets_choice.rs
+++ b/crates/beechsaddle-core/tests/targets_choice.rs
@@ -1,4 +1,4 @@
-//! Which of several good targets gets a call.
+//! Choice among several usable targets.
 
 mod routing_support;
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn choose_holder_of_prefix() {
+fn choose_target_with_cached_prefix() {
     let mut table = listed(6);
     table.on_target(
         at(10),
@@ -62,9 +62,9 @@
 }
 
 #[test]
-fn choose_holder_overloaded() {
-    // A hot prefix has one holder. Past the point where waiting there takes longer than reading the
-    // prompt elsewhere, affinity alone would queue every call behind it.
+fn choose_other_when_cached_target_overloaded() {
+    // One target has a popular prefix cached. Once waiting there takes longer than prefilling the
+    // prompt elsewhere, choosing by cache alone would queue every call at it.
     let mut table = listed(4);
     table.on_target(
         at(10),
@@ -81,23 +81,23 @@
 }
 
 #[test]
-fn choose_after_gap_in_events() {
-    // Events were lost, and a removal may be among them. Holding on to what is old, calls would go
-    // on to a target that has to read the whole prompt, instead of where all routers agree on.
-    let home = chosen(listed(4).choose(at(1), &engine_call(&PREFIX, &[])));
-    let holder = (0..4)
+fn choose_after_gap_in_cache_events() {
+    // Cache events are lost, possibly including an eviction. With the old entries, calls would go
+    // to a target that must read the whole prompt instead of to the affinity target.
+    let preferred = chosen(listed(4).choose(at(1), &engine_call(&PREFIX, &[])));
+    let cached = (0..4)
         .map(target)
-        .find(|name| *name != home)
-        .expect("there are others");
+        .find(|name| *name != preferred)
+        .expect("another target");
     let mut table = listed(4);
     table.on_target(
         at(10),
-        &with_cache(&holder, added(0, 16)),
+        &with_cache(&cached, added(0, 16)),
         &mut CoreOutbox::new(),
     );
     assert_eq!(
         chosen(table.choose(at(11), &engine_call(&PREFIX, &[]))),
-        holder
+        cached
     );
     let gapped = CacheNews {
         first: 40,
@@ -106,27 +106,27 @@
     };
     table.on_target(
         at(60_000),
-        &with_cache(&holder, gapped),
+        &with_cache(&cached, gapped),
         &mut CoreOutbox::new(),
     );
     assert_eq!(
         chosen(table.choose(at(60_001), &engine_call(&PREFIX, &[]))),
-        home
+        preferred
     );
 }
 
 #[test]
-fn choose_with_late_idle_reports() {
-    // Load reports are seconds old: they say idle while this router has just sent its calls. Going
-    // by them alone, every call of those seconds would go to one target.
+fn choose_with_outdated_idle_reports() {
+    // Load reports are seconds old and show targets as idle that this router has just sent calls
+    // to. By reports alone, all calls of those seconds would go to one target.
     let mut table = listed(4);
     let mut counts = [0_usize; 4];
     for step in 0..40 {
         let now = at(100 + step * 10);
         let name = chosen(table.choose(now, &engine_call(&[], &[])));
         table.started(now, &name, &[], WORK);
-        let place = (0..4).find(|number| target(*number) == name);
-        counts[place.expect("it is one of four")] += 1;
+        let index = (0..4).find(|number| target(*number) == name);
+        counts[index.expect("one of four targets")] += 1;
         for number in 0..4 {
             table.on_target(now, &healthy(&target(number), 0, 0), &mut CoreOutbox::new());
         }
@@ -135,8 +135,9 @@
 }
 
 #[test]
-fn choose_with_calls_of_others() {
-    // Another router fills a target. This one has sent nothing there and sees it in reports only.
+fn choose_with_calls_of_other_routers() {
+    // Another router fills a target; this router sent nothing there and sees it only in load
+    // reports.
     let mut table = listed(2);
     for step in 0..50 {
         let now = at(step * 100);
@@ -152,7 +153,7 @@
 
 #[test]
 fn choose_other_model_loaded() {
-    // An engine was ordered to load another model. It would answer with the wrong one, or refuse.
+    // An engine has loaded another model and would refuse the call or answer with the wrong model.
     let mut table = listed(2);
     let outcome = ProbeOutcome::Healthy {
         load: LoadReport::default(),
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn choose_plain_spreads() {
+fn choose_plain_balances_calls() {
     let mut table = listed(3);
     for _ in 0..30 {
         let name = chosen(table.choose(at(10), &plain_call(&[])));
@@ -187,8 +188,8 @@
 
 #[test]
 fn choose_other_domain_last() {
-    // All own targets were tried or leave. Only then does a call cross to another domain, and each
-    // such call is counted, since it costs time and the other domain's capacity.
+    // All own targets were tried or are leaving. Only then may a call go to another domain, and
+    // each such call is counted, since it takes time and the other domain's capacity.
     let mut table = listed(1);
     let mut remote = host("remote", 1, HostState::Live);
     remote.domain = DomainName::new("rijeka-hala");
@@ -216,10 +217,10 @@
 }
 
 #[test]
-fn choose_same_home_on_all_routers() {
-    // A new prompt that no router has seen: all agree on where it goes, so that its prefix is read
-    // once in the domain and not once for each router.
-    let homes: std::collections::BTreeSet<TargetName> = (0..6)
+fn choose_same_affinity_target_on_all_routers() {
+    // For a prompt that no router has seen, all routers choose the same target, so that its prefix
+    // is read once per domain and not once per router.
+    let targets: std::collections::BTreeSet<TargetName> = (0..6)
         .map(|seed| {
             let mut table = TargetTable::new(
                 TargetOptions::default(),
@@ -231,13 +232,13 @@
             chosen(table.choose(at(1), &engine_call(&PREFIX, &[])))
         })
         .collect();
-    assert_eq!(homes.len(), 1);
+    assert_eq!(targets.len(), 1);
 }
 
 #[test]
-fn plan_probes_shared_out() {
-    // 195 targets and 24 routers: each target is probed by two, and no router does much more than
-    // its part of them.
+fn plan_probes_balanced_over_routers() {
+    // With 195 targets and 24 routers, each target has two probers, and no router has much more
+    // than its even part of them.
     let mut most = 0;
     let mut total = 0;
     for number in 0..24 {
@@ -262,40 +263,40 @@
     assert!(most <= 32, "one router probes {most} targets");
 }
 
-/// One step of a random history.
+/// Applies one step of a random history. Returns whether the choice was allowed.
 fn take_step(
     table: &mut TargetTable,
     now: ClockTime,
     step: (u8, u8),
-    flights: &mut [u32; 4],
+    expected_in_flight: &mut [u32; 4],
     left: &mut [bool; 4],
 ) -> bool {
-    let (kind, place) = (step.0 % 6, usize::from(step.1 % 4));
+    let (kind, index) = (step.0 % 6, usize::from(step.1 % 4));
     let mut outbox = CoreOutbox::new();
-    let name = target(place);
+    let name = target(index);
     match kind {
         0 => {
             let tried = [name];
-            let choice = table.choose(now, &engine_call(&PREFIX[..place], &tried));
+            let choice = table.choose(now, &engine_call(&PREFIX[..index], &tried));
             if let TargetChoice::Chosen(chosen) = choice {
                 let number = (0..4).find(|number| target(*number) == chosen.target);
-                let number = number.expect("it is one of four");
-                table.started(now, &chosen.target, &PREFIX[..place], WORK);
-                flights[number] += 1;
-                return number != place && !left[number];
+                let number = number.expect("one of four targets");
+                table.started(now, &chosen.target, &PREFIX[..index], WORK);
+                expected_in_flight[number] += 1;
+                return number != index && !left[number];
             }
         }
         1 => {
             table.ended(now, &name);
-            flights[place] = flights[place].saturating_sub(1);
+            expected_in_flight[index] = expected_in_flight[index].saturating_sub(1);
         }
         2 => {
             table.failed(now, &name, beechsaddle_core::call::AttemptFailure::TimedOut);
-            flights[place] = flights[place].saturating_sub(1);
+            expected_in_flight[index] = expected_in_flight[index].saturating_sub(1);
         }
         3 if step.0 > 200 => {
             table.on_target(now, &probed(&name, ProbeOutcome::Leaving), &mut outbox);
-            left[place] = true;
+            left[index] = true;
         }
         3 | 4 => table.on_target(now, &healthy(&name, u32::from(step.0), 0), &mut outbox),
         _ => table.on_hosts(now, &hosts(4), &mut outbox),
@@ -307,16 +308,18 @@
 fn choose_random_histories() {
     fn holds(steps: Vec<(u8, u8)>) -> TestResult {
         let mut table = listed(4);
-        let mut flights = [0; 4];
+        let mut expected_in_flight = [0; 4];
         let mut left = [false; 4];
         for (number, step) in steps.into_iter().enumerate() {
             let now = at(number as u64 * 37);
-            if !take_step(&mut table, now, step, &mut flights, &mut left) {
+            if !take_step(&mut table, now, step, &mut expected_in_flight, &mut left) {
                 return TestResult::error("a leaving or tried target was chosen");
             }
             let counted: Vec<u32> = table.status(now).iter().map(|one| one.in_flight).collect();
-            if counted != flights {
-                return TestResult::error(format!("{counted:?} in flight, not {flights:?}"));
+            if counted != expected_in_flight {
+                return TestResult::error(format!(
+                    "{counted:?} in flight, not {expected_in_flight:?}"
+                ));
             }
         }
         TestResult::passed()
--- a/crates/beechsaddle-core/tests/targets_leave.rs
+++ b/crates/beechsaddle-core/tests/targets_leave.rs
@@ -1,4 +1,4 @@
-//! A target that is leaving gets no new work, whatever older sources say.
+//! A leaving target gets no new calls, even if older sources show it as live.
 
 mod routing_support;
 
@@ -9,7 +9,8 @@
 use beechsaddle_core::targets::{TargetChoice, TargetOptions, TargetTable};
 use routing_support::*;
 
-/// A table of each of `count` routers with `targets` targets, each with its members.
+/// The target tables of `count` routers with `targets` targets each, with the member table of each
+/// router.
 fn domain(
     count: usize,
     targets: usize,
@@ -28,7 +29,7 @@
         .collect()
 }
 
-fn leave_news(epoch: u64, sequence: u64) -> TargetNews {
+fn leave_update(epoch: u64, sequence: u64) -> TargetNews {
     TargetNews {
         target: target(0),
         epoch,
@@ -39,10 +40,10 @@
     }
 }
 
-fn live_news(epoch: u64, sequence: u64) -> TargetNews {
+fn live_update(epoch: u64, sequence: u64) -> TargetNews {
     TargetNews {
         state: HostState::Live,
-        ..leave_news(epoch, sequence)
+        ..leave_update(epoch, sequence)
     }
 }
 
@@ -55,30 +56,30 @@
 
 #[test]
 fn choose_leaving_listed_live() {
-    // Callers would see their streams cut when the host exits. A prober hears "leaving", its word
-    // reaches the second router by heartbeat, and then the lagging host list comes in on both and
-    // still says live. Neither may send new work there.
+    // A prober sees a target leaving and reports it to a second router by heartbeat. Then both
+    // receive the delayed host list that still shows the target as live. New calls there would be
+    // cut when the host exits.
     let mut session = RoutingSession::default();
     let mut routers = domain(2, 2);
     let mut outbox = CoreOutbox::new();
     let (prober, _) = &mut routers[0];
     let event = probed(&target(0), ProbeOutcome::Leaving);
-    session.note(at(10), "prober.on_target", &event);
+    session.record(at(10), "prober.on_target", &event);
     prober.on_target(at(10), &event, &mut outbox);
-    session.note(at(10), "prober.actions", &outbox.actions);
-    session.note(at(10), "prober.urgent_news", &prober.urgent_news());
-    let news = prober.take_news(at(10));
-    session.note(at(10), "prober.take_news", &news);
-    session.note(at(10), "prober.urgent_news", &prober.urgent_news());
-    routers[1].0.on_news(at(60), &router(0), &news);
+    session.record(at(10), "prober.actions", &outbox.actions);
+    session.record(at(10), "prober.urgent_news", &prober.has_urgent_update());
+    let update = prober.take_updates(at(10));
+    session.record(at(10), "prober.take_news", &update);
+    session.record(at(10), "prober.urgent_news", &prober.has_urgent_update());
+    routers[1].0.on_updates(at(60), &router(0), &update);
     for (number, (table, _)) in routers.iter_mut().enumerate() {
         table.on_hosts(at(500), &hosts(2), &mut CoreOutbox::new());
-        session.note(
+        session.record(
             at(500),
             "choose",
             &table.choose(at(500), &engine_call(&[], &[])),
         );
-        session.note(at(500), "status", &table.status(at(500)));
+        session.record(at(500), "status", &table.status(at(500)));
         assert!(
             !is_ever_chosen(table, at(500), &target(0)),
             "router {number}"
@@ -86,28 +87,28 @@
     }
     let tried = [target(1)];
     let choice = routers[0].0.choose(at(500), &engine_call(&[], &tried));
-    session.note(at(500), "prober.choose", &choice);
+    session.record(at(500), "prober.choose", &choice);
     session.check("targets_leave");
 }
 
 #[test]
-fn on_news_stale_live_after_leave() {
-    // A peer that was frozen speaks up with an older word, and with a sequence number that is
-    // higher because it counted many flaps. It must not bring work back to a leaving host, and has
-    // to hear of the leave again.
+fn on_updates_outdated_live_after_leave() {
+    // A peer that was frozen sends an outdated state, with a higher sequence number because it
+    // counted many changes. It must not bring calls back to a leaving host, and must be sent the
+    // leave again.
     let (mut table, _) = domain(1, 2).remove(0);
-    table.on_news(at(10), &router(1), &[leave_news(1, 1)]);
-    table.take_news(at(20));
-    table.on_news(at(30), &router(2), &[live_news(1, 99)]);
+    table.on_updates(at(10), &router(1), &[leave_update(1, 1)]);
+    table.take_updates(at(20));
+    table.on_updates(at(30), &router(2), &[live_update(1, 99)]);
     assert!(!is_ever_chosen(&mut table, at(40), &target(0)));
-    let told = table.take_news(at(50));
-    let word = told.iter().find(|news| news.target == target(0));
-    assert_eq!(word.map(|news| news.state), Some(HostState::Leaving));
+    let updates = table.take_updates(at(50));
+    let update = updates.iter().find(|update| update.target == target(0));
+    assert_eq!(update.map(|update| update.state), Some(HostState::Leaving));
 }
 
 #[test]
 fn on_target_late_healthy_after_leave() {
-    // Two probes cross: the answer of the earlier one, "live", is read after the later "leaving".
+    // Two probe results are reordered: the earlier "live" is handled after the later "leaving".
     let (mut table, _) = domain(1, 2).remove(0);
     let mut outbox = CoreOutbox::new();
     table.on_target(
@@ -120,49 +121,50 @@
 }
 
 #[test]
-fn on_news_leave_against_own_probe() {
-    // A peer heard "leaving" a moment after this router's own probe heard "live".
+fn on_updates_leave_against_own_probe() {
+    // A peer's probe found the target leaving just after this router's own probe found it live.
     let (mut table, _) = domain(1, 2).remove(0);
     table.on_target(at(10), &healthy(&target(0), 0, 0), &mut CoreOutbox::new());
     table.on_target(at(10), &healthy(&target(1), 0, 0), &mut CoreOutbox::new());
-    table.on_news(at(20), &router(1), &[leave_news(1, 1)]);
+    table.on_updates(at(20), &router(1), &[leave_update(1, 1)]);
     assert!(!is_ever_chosen(&mut table, at(30), &target(0)));
 }
 
 #[test]
-fn take_news_repeats_leave() {
-    // The heartbeat with the leave is lost. Peers would go on sending work until their own list
-    // shows it, so each later heartbeat tells it again.
+fn take_updates_repeats_leave() {
+    // The heartbeat with the leave is lost. Peers would send calls until their own list shows it,
+    // so each later heartbeat repeats the leave.
     let (mut table, _) = domain(1, 2).remove(0);
     let event = probed(&target(0), ProbeOutcome::Leaving);
     table.on_target(at(10), &event, &mut CoreOutbox::new());
-    for beat in 0..5 {
-        let told = table.take_news(at(20 + beat * 500));
-        let word = told.iter().find(|news| news.target == target(0));
-        assert_eq!(word.map(|news| news.state), Some(HostState::Leaving));
+    for round in 0..5 {
+        let updates = table.take_updates(at(20 + round * 500));
+        let update = updates.iter().find(|update| update.target == target(0));
+        assert_eq!(update.map(|update| update.state), Some(HostState::Leaving));
     }
 }
 
 #[test]
 fn on_hosts_later_epoch_after_leave() {
-    // The host is replaced under the same name: the mark was the old host's, the new one serves.
+    // The host is replaced under the same name: the leave applied to the old host, and the new one
+    // serves.
     let (mut table, _) = domain(1, 2).remove(0);
-    table.on_news(at(10), &router(1), &[leave_news(1, 1)]);
+    table.on_updates(at(10), &router(1), &[leave_update(1, 1)]);
     let mut list = hosts(2);
     list[0].epoch = 2;
     table.on_hosts(at(5_000), &list, &mut CoreOutbox::new());
     assert!(is_ever_chosen(&mut table, at(20_000), &target(0)));
-    // A late word about the old host says nothing of the new one.
-    table.on_news(at(20_010), &router(1), &[leave_news(1, 7)]);
+    // A late update about the old host does not apply to the new one.
+    table.on_updates(at(20_010), &router(1), &[leave_update(1, 7)]);
     assert!(is_ever_chosen(&mut table, at(20_020), &target(0)));
 }
 
 #[test]
 fn on_hosts_listed_again_after_gone() {
-    // The host left, was dropped from the list, and then an older copy of the list is read that
-    // still has it as live. Work sent there would fail to connect or reach a stranger.
+    // The host left and was unlisted, then an older list still shows it as live. Calls there would
+    // fail to connect or reach another host.
     let (mut table, _) = domain(1, 2).remove(0);
-    table.on_news(at(10), &router(1), &[leave_news(1, 1)]);
+    table.on_updates(at(10), &router(1), &[leave_update(1, 1)]);
     table.on_hosts(at(1_000), &hosts(2)[1..], &mut CoreOutbox::new());
     table.tick(at(2_000), &members(0, 1), &mut CoreOutbox::new());
     table.on_hosts(at(3_000), &hosts(2), &mut CoreOutbox::new());
@@ -171,9 +173,9 @@
 
 #[test]
 fn tick_leave_in_force_within_two_seconds() {
-    // One target of twelve starts to leave while the host list says nothing of it. Eight routers
-    // tick, probe by turns and pass on what is urgent at once, 2 ms away. After two seconds no
-    // router may choose it, also when every second heartbeat is lost.
+    // One of twelve targets starts to leave while the host list still shows it as live. Eight
+    // routers tick, take turns probing and send urgent updates at once over a 2 ms network. After
+    // two seconds all routers must see it as leaving, even if every second heartbeat is lost.
     let mut routers = domain(8, 12);
     let leaving_since = 3_000;
     for step in 0..100 {
@@ -190,14 +192,14 @@
                 };
                 table.on_target(now, &event, &mut CoreOutbox::new());
             }
-            if table.urgent_news() || step % 10 == 0 {
-                sent.push((number, table.take_news(now)));
+            if table.has_urgent_update() || step % 10 == 0 {
+                sent.push((number, table.take_updates(now)));
             }
         }
-        for (from, news) in sent {
+        for (from, update) in sent {
             for (to, (table, _)) in routers.iter_mut().enumerate() {
                 if (from + to + step as usize).is_multiple_of(2) && from != to {
-                    table.on_news(now.plus_ms(2), &router(from), &news);
+                    table.on_updates(now.plus_ms(2), &router(from), &update);
                 }
             }
         }
@@ -207,36 +209,36 @@
     }
     let now = at(leaving_since + 2_000);
     for (table, _) in &mut routers {
-        let state = table.status(now)[target_place(3)].state;
+        let state = table.status(now)[target_index(3)].state;
         assert_eq!(state, HostState::Leaving);
     }
 }
 
-/// The place of a target in a status list, which is in the order of names.
-fn target_place(number: usize) -> usize {
+/// The index of a target in a status list, which is sorted by name.
+fn target_index(number: usize) -> usize {
     let mut names: Vec<TargetName> = (0..12).map(target).collect();
     names.sort();
     names
         .iter()
         .position(|name| *name == target(number))
-        .expect("it is one of them")
+        .expect("one of the listed targets")
 }
 
 #[test]
-fn take_news_tells_engine_now_and_then() {
-    // A node's heartbeats have to fit into its bytes a second. Loads change with every probe, what
-    // an engine serves hardly ever; but a router that is new has to learn it from its peers soon.
+fn take_updates_repeats_engine_state() {
+    // Heartbeats must fit into a byte budget per second. Loads change with every probe but engine
+    // states rarely; still, a new router must receive the engine state from its peers soon.
     let (mut table, members) = domain(1, 2).remove(0);
     table.tick(at(0), &members, &mut CoreOutbox::new());
     let mut with_engine = 0;
-    for beat in 1..=17_u32 {
-        let event = healthy(&target(0), 40 * (beat % 2), 0);
-        table.on_target(at(u64::from(beat) * 500), &event, &mut CoreOutbox::new());
-        let told = table.take_news(at(u64::from(beat) * 500 + 10));
-        let news = told.iter().find(|news| news.target == target(0));
-        let news = news.expect("the load changed");
-        assert!(news.load.is_some());
-        with_engine += u32::from(news.engine.is_some());
+    for round in 1..=17_u32 {
+        let event = healthy(&target(0), 40 * (round % 2), 0);
+        table.on_target(at(u64::from(round) * 500), &event, &mut CoreOutbox::new());
+        let updates = table.take_updates(at(u64::from(round) * 500 + 10));
+        let update = updates.iter().find(|update| update.target == target(0));
+        let update = update.expect("the load changed");
+        assert!(update.load.is_some());
+        with_engine += u32::from(update.engine.is_some());
     }
     assert_eq!(with_engine, 1 + 4);
 }
--- a/crates/beechsaddle-core/tests/targets_outlier.rs
+++ b/crates/beechsaddle-core/tests/targets_outlier.rs
@@ -1,4 +1,4 @@
-//! Bad targets are ejected, but never so many that the rest cannot carry the load.
+//! Bad targets are ejected, but never so many that the others cannot carry the load.
 
 mod routing_support;
 
@@ -39,8 +39,8 @@
 
 #[test]
 fn failed_in_row_ejects() {
-    // One target answers every call with an error while its probes are well. Callers would lose
-    // every fourth call until someone notices.
+    // One of four targets fails every call while its probes succeed. Without ejection callers would
+    // lose every fourth call.
     let mut table = listed(4);
     fail(&mut table, at(10), 2, 3);
     for _ in 0..100 {
@@ -51,13 +51,13 @@
     }
     let mut outbox = CoreOutbox::new();
     table.tick(at(5_100), &members(0, 1), &mut outbox);
-    assert_eq!(ejected(&table, at(5_100)), 0, "it gets another chance");
+    assert_eq!(ejected(&table, at(5_100)), 0, "the ejection has ended");
 }
 
 #[test]
-fn failed_all_keeps_half() {
-    // A shared cause, such as a bad model version, makes every target fail. Ejecting all but one
-    // would bury that one; at least half stay, and with all tried out calls still find a target.
+fn failed_all_ejects_at_most_half() {
+    // A common cause, such as a bad model version, makes all targets fail. Ejecting all but one
+    // would overload that one; at least half must stay, so that calls still find a target.
     let mut table = listed(6);
     for number in 0..6 {
         fail(&mut table, at(10), number, 20);
@@ -81,8 +81,8 @@
 }
 
 #[test]
-fn choose_ejected_when_others_gone() {
-    // The ejected target is the only one left after the others leave: bad is better than none.
+fn choose_ejected_when_others_leave() {
+    // After the other target leaves, the ejected one is the only one left and must be used.
     let mut table = listed(2);
     fail(&mut table, at(10), 0, 3);
     table.on_target(
@@ -98,7 +98,8 @@
 
 #[test]
 fn failed_busy_pauses_without_ejection() {
-    // A full engine answers 503. Ejecting it would move its load to the others, which fill up next.
+    // A full engine answers 503. Ejecting it would move its load to the others, which would fill up
+    // next.
     let mut table = listed(3);
     for _ in 0..10 {
         table.started(at(10), &target(1), &[], WORK);
@@ -115,8 +116,8 @@
 
 #[test]
 fn first_byte_slow_ejects() {
-    // One of five engines is ten times slower, but answers: no failure is ever counted, while one
-    // call in five waits ten times as long for its first token.
+    // One of five engines is ten times slower but answers, so no failure is counted, while one call
+    // in five waits ten times as long for its first token.
     let mut table = listed(5);
     for round in 0..30 {
         for number in 0..5 {
@@ -128,18 +129,18 @@
         }
     }
     let status = table.status(at(3_100));
-    let bad: Vec<&TargetName> = status
+    let ejected_targets: Vec<&TargetName> = status
         .iter()
         .filter(|status| status.ejected)
         .map(|status| &status.target)
         .collect();
-    assert_eq!(bad, [&target(4)]);
+    assert_eq!(ejected_targets, [&target(4)]);
 }
 
 #[test]
 fn choose_slow_start_after_return() {
-    // A target that was down comes back empty. The least loaded of all, it would get every new call
-    // at once, before its caches are warm.
+    // A target returns after being down. As the least loaded one it would get all new calls at
+    // once, before its caches are warm.
     let mut table = listed(3);
     let members = members(0, 1);
     for name in [0, 1] {
@@ -172,8 +173,8 @@
 
 #[test]
 fn choose_all_probes_failing() {
-    // A release breaks every target's health page while calls still work. Refusing all calls for it
-    // would turn a broken probe into an outage.
+    // A release breaks the health endpoint of all targets while calls still work. Refusing all
+    // calls would turn broken probes into an outage.
     let mut table = listed(2);
     for number in 0..2 {
         for moment in [100, 200] {
@@ -188,9 +189,9 @@
 }
 
 #[test]
-fn hurry_probes_bounded_in_storm() {
-    // A hundred calls fail at a target that this router does not probe. It looks once by itself,
-    // and a storm of failures does not become a storm of probes.
+fn request_probe_bounded_under_failures() {
+    // A hundred calls fail at a target at every tick, and each failure requests a probe. The target
+    // must be probed, but with a bounded rate.
     let mut table = listed(1);
     let members = members(0, 1);
     table.tick(at(0), &members, &mut CoreOutbox::new());
@@ -204,13 +205,14 @@
             table.on_target(at(2_000 + step * 50), &healthy(&name, 0, 0), &mut outbox);
         }
     }
-    assert!((1..=10).contains(&sent), "{sent} probes in a second");
+    assert!((1..=10).contains(&sent), "{sent} probes within a second");
 }
 
 #[test]
-fn choose_slow_target_is_no_home() {
-    // One engine is three times slower, which is too little to eject it. As a home it would look
-    // the soonest, having little to read, and every turn of its conversations would be slow there.
+fn choose_slow_target_without_affinity() {
+    // One engine is three times slower, too little for ejection. As an affinity target it would
+    // have the lowest cost, since it has little to read, and every turn of its conversations would
+    // be slow.
     let mut table = listed(4);
     for round in 0..20 {
         for number in 0..4 {
--- a/crates/beechsaddle-core/tests/targets_replaced.rs
+++ b/crates/beechsaddle-core/tests/targets_replaced.rs
@@ -1,4 +1,4 @@
-//! Hosts that take another one's name or address are told apart.
+//! Hosts that take over the name or address of another host are distinguished from it.
 
 mod routing_support;
 
@@ -11,8 +11,8 @@
 
 #[test]
 fn on_hosts_other_name_same_address() {
-    // A host is replaced by another with a new name at the old address, and the lagging list shows
-    // both. A call meant for the old one would reach the new one, which may serve another model.
+    // A host is replaced under a new name at the same address, and the delayed list shows both. A
+    // call for the old host would reach the new one, which may serve another model.
     let mut table = table(TargetOptions::default());
     let old = host("old", 4, HostState::Live);
     let mut new = host("new", 5, HostState::Live);
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn on_news_later_epoch_than_listed() {
-    // A peer's newer list shows the host replaced; this router's list still has the old epoch. The
-    // old host is gone, so it gets no work until the own list shows where the new one listens.
+fn on_updates_later_epoch_than_listed() {
+    // A peer's newer list shows the host as replaced, while this router's list has the old epoch.
+    // The old host is gone and must get no calls until the own list shows the new address.
     let mut table = table(TargetOptions::default());
     table.on_hosts(at(0), &hosts(1), &mut CoreOutbox::new());
-    let news = TargetNews {
+    let update = TargetNews {
         target: target(0),
         epoch: 2,
         state: HostState::Live,
@@ -38,7 +38,7 @@
         load: None,
         engine: None,
     };
-    table.on_news(at(10), &router(1), &[news]);
+    table.on_updates(at(10), &router(1), &[update]);
     let choice = table.choose(at(11), &engine_call(&[], &[]));
     assert_eq!(choice, TargetChoice::NoneAlive);
     table.on_hosts(
@@ -54,22 +54,22 @@
 
 #[test]
 fn on_hosts_older_list_after_replaced() {
-    // Lists come in out of order. The older one must not bring back the replaced host's address.
+    // Host lists arrive out of order. The older one must not restore the replaced host's address.
     let mut table = table(TargetOptions::default());
     let mut new = host("target-0", 2, HostState::Live);
     new.address = "10.9.9.9:80".to_owned();
     table.on_hosts(at(0), &[new], &mut CoreOutbox::new());
     table.on_hosts(at(10), &hosts(1), &mut CoreOutbox::new());
     let TargetChoice::Chosen(chosen) = table.choose(at(11), &engine_call(&[], &[])) else {
-        panic!("the new host serves");
+        panic!("no target was chosen");
     };
     assert_eq!(chosen.address, "10.9.9.9:80");
 }
 
 #[test]
 fn ended_call_of_replaced_host() {
-    // A call that began on the old host ends after the new one took its place: it is counted until
-    // then, and once.
+    // A call started on the old host ends after its replacement. It must be counted until then, and
+    // exactly once.
     let mut table = table(TargetOptions::default());
     table.on_hosts(at(0), &hosts(1), &mut CoreOutbox::new());
     table.started(at(1), &target(0), &[], WORK);
@@ -86,8 +86,8 @@
 
 #[test]
 fn on_hosts_empty_list() {
-    // The platform answers with an empty list. Every target gone at once is less likely than a
-    // fault there, and believing it would refuse every call.
+    // The platform returns an empty list. A platform fault is more likely than the loss of all
+    // targets, and applying the list would refuse every call.
     let mut table = table(TargetOptions::default());
     table.on_hosts(at(0), &hosts(2), &mut CoreOutbox::new());
     table.on_hosts(at(10), &[], &mut CoreOutbox::new());
@@ -98,13 +98,13 @@
 }
 
 #[test]
-fn on_news_down_against_own_probe() {
-    // A peer cannot reach a target that this router reaches. It goes on here, the others hear that
-    // it lives, and the two do not answer each other without end.
+fn on_updates_down_against_own_probe() {
+    // A peer cannot reach a target that this router reaches. This router keeps using it and
+    // announces it as live to the others, and the two must not answer each other forever.
     let mut table = table(TargetOptions::default());
     table.on_hosts(at(0), &hosts(1), &mut CoreOutbox::new());
     table.on_target(at(10), &healthy(&target(0), 0, 0), &mut CoreOutbox::new());
-    let news = TargetNews {
+    let update = TargetNews {
         target: target(0),
         epoch: 1,
         state: HostState::Down,
@@ -112,25 +112,25 @@
         load: None,
         engine: None,
     };
-    table.on_news(at(20), &router(1), &[news]);
+    table.on_updates(at(20), &router(1), &[update]);
     assert_eq!(table.status(at(30))[0].state, HostState::Live);
-    let told = table.take_news(at(40));
-    assert_eq!(told[0].state, HostState::Live);
-    assert!(told[0].sequence > 5);
-    assert_eq!(table.take_news(at(50)), []);
+    let updates = table.take_updates(at(40));
+    assert_eq!(updates[0].state, HostState::Live);
+    assert!(updates[0].sequence > 5);
+    assert_eq!(table.take_updates(at(50)), []);
 }
 
 #[test]
-fn on_news_live_against_own_probe() {
-    // The other way round: peers reach the target and this router does not. It must not send calls
-    // into the void because others say that the target lives.
+fn on_updates_live_against_own_probe() {
+    // Peers reach a target that this router cannot reach. This router must not send calls to it
+    // because peers report it as live.
     let mut table = table(TargetOptions::default());
     table.on_hosts(at(0), &hosts(1), &mut CoreOutbox::new());
     for moment in [10, 110] {
         let event = probed(&target(0), ProbeOutcome::Failed);
         table.on_target(at(moment), &event, &mut CoreOutbox::new());
     }
-    let news = TargetNews {
+    let update = TargetNews {
         target: target(0),
         epoch: 1,
         state: HostState::Live,
@@ -138,6 +138,6 @@
         load: None,
         engine: None,
     };
-    table.on_news(at(120), &router(1), &[news]);
+    table.on_updates(at(120), &router(1), &[update]);
     assert_eq!(table.status(at(130))[0].state, HostState::Down);
 }
--- a/crates/beechsaddle-lab/src/measure/grants/grant_model.rs
+++ b/crates/beechsaddle-lab/src/measure/grants/grant_model.rs
@@ -413,7 +413,7 @@
         state: RouterState::Live,
         liveness: MemberLiveness::Live,
         catalogue_revision: 0,
-        heard: ClockTime::ZERO,
+        last_seen_at: ClockTime::ZERO,
         sequence: 0,
     }
 }
--- a/crates/beechsaddle-lab/src/measure/leave.rs
+++ b/crates/beechsaddle-lab/src/measure/leave.rs
@@ -133,16 +133,16 @@
             let sender = self.routers[message.from].1.me().clone();
             self.routers[message.to]
                 .0
-                .on_news(now, &sender, &message.news);
+                .on_updates(now, &sender, &message.news);
         }
         for number in 0..self.routers.len() {
             self.probe(now, number);
             let (table, _) = &mut self.routers[number];
             let is_due = (tick + number as u64).is_multiple_of(HEARTBEAT_TICKS);
-            if !is_due && !table.urgent_news() {
+            if !is_due && !table.has_urgent_update() {
                 continue;
             }
-            let news = table.take_news(now);
+            let news = table.take_updates(now);
             self.news += (news.len() * (self.routers.len() - 1)) as u64;
             for to in (0..self.routers.len()).filter(|to| *to != number) {
                 if self.random.random_range(0..100) >= self.lost_percent {
--- a/crates/beechsaddle-lab/src/measure/retries.rs
+++ b/crates/beechsaddle-lab/src/measure/retries.rs
@@ -1,6 +1,6 @@
 //! The `retries` module provides the experiment that counts attempts when targets fail.
 
-use beechsaddle_core::admission::{AttemptFacts, RetryDecision, RetryOptions, RetryPolicy};
+use beechsaddle_core::admission::{FailedAttempt, RetryDecision, RetryOptions, RetryPolicy};
 use beechsaddle_core::call::AttemptFailure;
 use beechsaddle_core::clock::ClockTime;
 use rand::{Rng, SeedableRng};
@@ -52,7 +52,7 @@
     for call in 0..CALLS {
         let now = ClockTime::from_millis(call * 10);
         policy.requested(now);
-        let mut facts = AttemptFacts {
+        let mut facts = FailedAttempt {
             failure: AttemptFailure::ServerError,
             repeatable: true,
             first_byte_sent: false,
--- a/crates/beechsaddle-lab/src/measure/routing/routing_trial.rs
+++ b/crates/beechsaddle-lab/src/measure/routing/routing_trial.rs
@@ -239,11 +239,11 @@
         let told: Vec<_> = self
             .routers
             .iter_mut()
-            .map(|(table, _)| table.take_news(clock(now)))
+            .map(|(table, _)| table.take_updates(clock(now)))
             .collect();
         for (to, (table, _)) in self.routers.iter_mut().enumerate() {
             for (from, news) in told.iter().enumerate().filter(|(from, _)| *from != to) {
-                table.on_news(clock(now), &router(from), news);
+                table.on_updates(clock(now), &router(from), news);
             }
         }
     }
@@ -279,7 +279,7 @@
             state: RouterState::Live,
             liveness: MemberLiveness::Live,
             catalogue_revision: 1,
-            heard: ClockTime::ZERO,
+            last_seen_at: ClockTime::ZERO,
             sequence: 1,
         };
         members.insert(router(other), entry);
