--- a/crates/beechsaddle-core/src/money/money_desk.rs
+++ b/crates/beechsaddle-core/src/accounting/accounting_manager.rs
@@ -1,10 +1,11 @@
-//! The `money_desk` module provides the router's decisions on budgets and bills.
+//! The `accounting_manager` module provides the router's decisions on budgets and bills.
 
 use std::collections::BTreeMap;
 
+use super::accounting_options::AccountingOptions;
 use super::budget_holding::BudgetHolding;
-use super::desk_turn::DeskTurn;
 use super::entry_call::EntryCall;
+use super::event_context::EventContext;
 use super::fold_job::FoldJob;
 use super::fold_scan::FoldScan;
 use super::grant_audit::GrantAudit;
@@ -12,10 +13,9 @@
 use super::journal_name::journal_name;
 use super::journal_segment::BillRecord;
 use super::journal_writer::JournalWriter;
-use super::key_book::KeyBook;
-use super::late_bill::{ClosedLife, LateBill};
-use super::lookup_book::LookupBook;
-use super::money_options::MoneyOptions;
+use super::key_table::KeyTable;
+use super::late_bill::{FencedJournal, LateBill};
+use super::lookup_table::LookupTable;
 use super::segment_sweeper::SegmentSweeper;
 use super::shard_writer::ShardWriter;
 use crate::members::MemberTable;
@@ -25,68 +25,71 @@
 use crate::prelude::*;
 use crate::status::GrantStatus;
 
-/// Decides on budgets, grants, journals and bills.
+/// Decides on budgets, grants, journals and bills, without I/O.
 ///
-/// One desk is all of these for its router: entry of the calls that the router took, holder of the
-/// budgets that it is picked for, witness of other routers' calls, and folder of closed journals.
+/// One manager plays all roles of its router: entry router of the calls that it receives, holder of
+/// the budgets that it is picked for, backup of other routers' calls, and folder of closed
+/// journals.
 #[derive(Debug)]
-pub struct MoneyDesk {
-    pub(super) options: MoneyOptions,
+pub struct AccountingManager {
+    pub(super) options: AccountingOptions,
     pub(super) me: RouterIncarnation,
-    /// Calls that this router took.
+    /// Calls for which this router is the entry router.
     pub(super) entries: BTreeMap<CallId, EntryCall>,
     pub(super) progress_at: ClockTime,
     /// Calls that this router reserved for.
     pub(super) open: BTreeMap<CallId, HolderCall>,
     pub(super) billed: BTreeMap<CallId, BilledCall>,
-    pub(super) keys: KeyBook,
+    pub(super) keys: KeyTable,
     pub(super) holdings: BTreeMap<BudgetName, BudgetHolding>,
-    pub(super) lookups: LookupBook,
-    /// Copies of other routers' calls.
-    pub(super) notes: BTreeMap<CallId, WitnessNote>,
-    /// Copies of ended calls of routers that are gone, for holders that are not.
+    pub(super) lookups: LookupTable,
+    /// Usage copies of other routers' calls.
+    pub(super) usage_copies: BTreeMap<CallId, WitnessNote>,
+    /// Copies of ended calls whose entry router is gone, to be sent to holders that are still
+    /// running.
     pub(super) forwards: BTreeMap<CallId, WitnessNote>,
     pub(super) forwarded_at: ClockTime,
-    /// Calls of other routers that are billed for good, and when that was told.
+    /// Calls of other routers that are billed for good, with the time of the report.
     pub(super) closed_calls: BTreeMap<CallId, ClockTime>,
-    pub(super) life: u32,
+    pub(super) journal_number: u32,
     pub(super) writer: JournalWriter,
     pub(super) written_at: ClockTime,
     pub(super) checkpoint: u64,
     /// Bills that no segment holds yet.
-    pub(super) news: Vec<BillRecord>,
+    pub(super) unwritten_bills: Vec<BillRecord>,
     /// Bills of the segment that is being written.
-    pub(super) news_sent: Vec<BillRecord>,
+    pub(super) sent_bills: Vec<BillRecord>,
     /// Durable bills that another router may still hand to a successor.
     pub(super) unconfirmed: BTreeMap<CallId, (u64, BillRecord)>,
     pub(super) late: BTreeMap<CallId, LateBill>,
-    pub(super) closed_lives: BTreeMap<KeyText, ClosedLife>,
+    pub(super) fenced_journals: BTreeMap<KeyText, FencedJournal>,
     pub(super) shards: BTreeMap<u32, ShardWriter>,
     pub(super) jobs: BTreeMap<KeyText, FoldJob>,
     pub(super) scans: BTreeMap<RouterIncarnation, FoldScan>,
-    /// The search for journals of earlier routers on the own host; begins with the layout.
-    pub(super) earlier: Option<FoldScan>,
+    /// The search for journals of earlier processes on this router's host; starts once the layout
+    /// is known.
+    pub(super) host_scan: Option<FoldScan>,
     pub(super) audit: GrantAudit,
     pub(super) sweeper: SegmentSweeper,
-    pub(super) tickets: BTreeMap<u64, MoneyWait>,
+    pub(super) tickets: BTreeMap<u64, ReplyRoute>,
     pub(super) ticket_count: u64,
     pub(super) write_count: u64,
-    pub(super) away_since: Option<ClockTime>,
+    pub(super) unreachable_since: Option<ClockTime>,
     pub(super) drain: DrainState,
 }
 
-/// Who waits for a platform call.
+/// The recipient of the reply to a platform call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum MoneyWait {
+pub(super) enum ReplyRoute {
     Journal(KeyText),
     Shard(u32),
     Fold(KeyText),
     Scan(RouterIncarnation),
-    Earlier,
+    HostScan,
     Sweep,
 }
 
-/// How far a graceful shutdown is.
+/// The stage of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DrainState {
     Serving,
@@ -94,62 +97,62 @@
     Ending,
     /// The closing segment is being written.
     Closing,
-    /// The ledger takes the closed journal in.
+    /// The closed journal is being folded into the ledger.
     Folding,
     Drained,
 }
 
-impl MoneyDesk {
-    /// A desk that holds nothing.
-    pub fn new(options: MoneyOptions, me: RouterIncarnation) -> Self {
-        let writer = JournalWriter::new(journal_name(&me, FIRST_LIFE));
-        MoneyDesk {
+impl AccountingManager {
+    /// Returns a manager without state.
+    pub fn new(options: AccountingOptions, me: RouterIncarnation) -> Self {
+        let writer = JournalWriter::new(journal_name(&me, FIRST_JOURNAL));
+        AccountingManager {
             options,
             me,
             entries: BTreeMap::new(),
             progress_at: ClockTime::ZERO,
             open: BTreeMap::new(),
             billed: BTreeMap::new(),
-            keys: KeyBook::default(),
+            keys: KeyTable::default(),
             holdings: BTreeMap::new(),
-            lookups: LookupBook::default(),
-            notes: BTreeMap::new(),
+            lookups: LookupTable::default(),
+            usage_copies: BTreeMap::new(),
             forwards: BTreeMap::new(),
             forwarded_at: ClockTime::ZERO,
             closed_calls: BTreeMap::new(),
-            life: FIRST_LIFE,
+            journal_number: FIRST_JOURNAL,
             writer,
             written_at: ClockTime::ZERO,
             checkpoint: 0,
-            news: Vec::new(),
-            news_sent: Vec::new(),
+            unwritten_bills: Vec::new(),
+            sent_bills: Vec::new(),
             unconfirmed: BTreeMap::new(),
             late: BTreeMap::new(),
-            closed_lives: BTreeMap::new(),
+            fenced_journals: BTreeMap::new(),
             shards: BTreeMap::new(),
             jobs: BTreeMap::new(),
             scans: BTreeMap::new(),
-            earlier: None,
+            host_scan: None,
             audit: GrantAudit::default(),
             sweeper: SegmentSweeper::default(),
             tickets: BTreeMap::new(),
             ticket_count: 0,
             write_count: 0,
-            away_since: None,
+            unreachable_since: None,
             drain: DrainState::Serving,
         }
     }
 
-    /// Sets how many ledger shards there are, once the fleet's layout is known and before anything
-    /// is reserved.
+    /// Sets the number of ledger shards. Must be called once the fleet's layout is known and before
+    /// the first reservation.
     pub fn set_layout(&mut self, layout: &FleetLayout) {
         self.options.shard_count = layout.ledger_shards;
-        if self.earlier.is_none() {
-            self.earlier = Some(FoldScan::of_host(&self.me.host));
+        if self.host_scan.is_none() {
+            self.host_scan = Some(FoldScan::of_host(&self.me.host));
         }
     }
 
-    /// Asks for a reservation; called at the call's entry router. Exactly one
+    /// Requests a reservation; called at the call's entry router. Exactly one
     /// [`CoreSignal::AdmitDone`] follows in bounded time, unless the call is settled before.
     pub fn admit(
         &mut self,
@@ -158,26 +161,26 @@
         members: &MemberTable,
         outbox: &mut CoreOutbox,
     ) {
-        let mut turn = DeskTurn {
+        let mut context = EventContext {
             now,
             members,
             outbox,
         };
-        self.enter_call(&mut turn, request);
-        self.pump(&mut turn);
+        self.start_call(&mut context, request);
+        self.dispatch_due(&mut context);
     }
 
-    /// Notes the tokens that a running call used so far; called at its entry router.
+    /// Records the tokens that a running call has used so far; called at its entry router.
     pub fn progress(&mut self, now: ClockTime, call: &CallId, tokens: u64) {
         if let Some(entry) = self.entries.get_mut(call) {
             entry.tokens = entry.tokens.max(tokens);
         }
-        self.note_progress(now, call, tokens);
+        self.record_progress(now, call, tokens);
     }
 
     /// Ends a call; called at its entry router. One [`CoreSignal::SettleDone`] follows in bounded
-    /// time, also when the holder is away. `tokens` is what is billed; with `ran == false` nothing
-    /// is. `complete` tells whether the caller gets its whole answer.
+    /// time, even if the holder is unreachable. `tokens` is billed if `ran` is set, otherwise
+    /// nothing is; `complete` states whether the caller gets its whole response.
     #[allow(clippy::too_many_arguments)]
     pub fn settle(
         &mut self,
@@ -189,16 +192,16 @@
         members: &MemberTable,
         outbox: &mut CoreOutbox,
     ) {
-        let mut turn = DeskTurn {
+        let mut context = EventContext {
             now,
             members,
             outbox,
         };
-        self.end_call(&mut turn, call, tokens, ran, complete);
-        self.pump(&mut turn);
+        self.end_call(&mut context, call, tokens, ran, complete);
+        self.dispatch_due(&mut context);
     }
 
-    /// Takes a message of another router that concerns money; others are ignored.
+    /// Handles a message of another router that concerns accounting; others are ignored.
     pub fn on_peer(
         &mut self,
         now: ClockTime,
@@ -207,31 +210,31 @@
         members: &MemberTable,
         outbox: &mut CoreOutbox,
     ) {
-        let mut turn = DeskTurn {
+        let mut context = EventContext {
             now,
             members,
             outbox,
         };
         match message {
-            PeerMessage::AdmitRequest(request) => self.hold_call(&mut turn, request),
+            PeerMessage::AdmitRequest(request) => self.admit_as_holder(&mut context, request),
             PeerMessage::AdmitReply { call, outcome } => {
-                self.on_admit_reply(&mut turn, from, &call, outcome);
+                self.on_admit_reply(&mut context, from, &call, outcome);
             }
             PeerMessage::CallUnknown { call, journal } => {
-                self.drop_reservation(&mut turn, &call, &journal);
+                self.drop_reservation(&mut context, &call, &journal);
             }
             PeerMessage::ProgressReport { calls } => {
                 for progress in calls {
-                    self.note_progress(now, &progress.call, progress.tokens);
+                    self.record_progress(now, &progress.call, progress.tokens);
                 }
             }
             PeerMessage::SettleRequest(request) => {
-                self.hold_settle(&mut turn, from, request);
+                self.settle_as_holder(&mut context, from, request);
             }
-            PeerMessage::SettleReply { call } => self.release_call(&mut turn, &call),
-            PeerMessage::BillsDurable { calls } => self.on_durable(&mut turn, from, calls),
-            PeerMessage::WitnessNote(note) => self.keep_note(&mut turn, from, note),
-            PeerMessage::WitnessReply { call } => self.on_witness_reply(&mut turn, from, &call),
+            PeerMessage::SettleReply { call } => self.release_call(&mut context, &call),
+            PeerMessage::BillsDurable { calls } => self.on_durable(&mut context, from, calls),
+            PeerMessage::WitnessNote(copy) => self.store_copy(&mut context, from, copy),
+            PeerMessage::WitnessReply { call } => self.on_copy_reply(&mut context, from, &call),
             PeerMessage::Heartbeat(_)
             | PeerMessage::HostsRequest
             | PeerMessage::HostsUpdate { .. }
@@ -240,10 +243,10 @@
             | PeerMessage::RecordRequest(_)
             | PeerMessage::RecordReply { .. } => {}
         }
-        self.pump(&mut turn);
+        self.dispatch_due(&mut context);
     }
 
-    /// Takes the outcome of one of its platform calls.
+    /// Handles the reply to one of its platform calls.
     pub fn on_platform(
         &mut self,
         now: ClockTime,
@@ -252,16 +255,16 @@
         members: &MemberTable,
         outbox: &mut CoreOutbox,
     ) {
-        let mut turn = DeskTurn {
+        let mut context = EventContext {
             now,
             members,
             outbox,
         };
-        self.take_reply(&mut turn, ticket.number, reply);
-        self.pump(&mut turn);
+        self.handle_reply(&mut context, ticket.number, reply);
+        self.dispatch_due(&mut context);
     }
 
-    /// Takes what other duties learned of routers; other signals are ignored.
+    /// Handles signals about members; other signals are ignored.
     pub fn on_signal(
         &mut self,
         now: ClockTime,
@@ -269,33 +272,33 @@
         members: &MemberTable,
         outbox: &mut CoreOutbox,
     ) {
-        let mut turn = DeskTurn {
+        let mut context = EventContext {
             now,
             members,
             outbox,
         };
         if let CoreSignal::MemberGone(router) = signal {
-            self.on_gone(&mut turn, router);
+            self.on_gone(&mut context, router);
         }
-        self.pump(&mut turn);
+        self.dispatch_due(&mut context);
     }
 
-    /// Does what is due by time.
+    /// Runs everything that is due at `now`.
     pub fn tick(&mut self, now: ClockTime, members: &MemberTable, outbox: &mut CoreOutbox) {
-        let mut turn = DeskTurn {
+        let mut context = EventContext {
             now,
             members,
             outbox,
         };
-        self.tick_entries(&mut turn);
-        self.tick_holder(&mut turn);
-        self.tick_forwards(&mut turn);
-        self.pump(&mut turn);
+        self.tick_entries(&mut context);
+        self.tick_holder(&mut context);
+        self.tick_forwards(&mut context);
+        self.dispatch_due(&mut context);
     }
 
-    /// Starts to hand over everything: nothing new is reserved, what is open is finished.
+    /// Starts a graceful shutdown: nothing new is reserved, open calls are finished.
     pub fn drain(&mut self, now: ClockTime, members: &MemberTable, outbox: &mut CoreOutbox) {
-        let mut turn = DeskTurn {
+        let mut context = EventContext {
             now,
             members,
             outbox,
@@ -303,26 +306,26 @@
         if self.drain == DrainState::Serving {
             self.drain = DrainState::Ending;
         }
-        self.pump(&mut turn);
+        self.dispatch_due(&mut context);
     }
 
-    /// Whether everything is handed over: the journal is closed and the ledger has taken it in.
+    /// Whether the shutdown is complete: the journal is closed and folded into the ledger.
     pub fn is_drained(&self) -> bool {
         self.drain == DrainState::Drained
     }
 
-    /// The grants that are held.
+    /// Returns the status of each held grant.
     pub fn grants(&self) -> Vec<GrantStatus> {
         self.holdings
             .iter()
-            .filter(|(_, holding)| holding.has_entry)
+            .filter(|(_, holding)| holding.has_grant)
             .map(|(budget, holding)| holding.status(budget))
             .collect()
     }
 
-    /// Bills that are not yet durable.
+    /// Returns the number of bills that are not yet durable.
     pub fn unjournalled(&self) -> u64 {
-        (self.news.len() + self.news_sent.len() + self.late.len()) as u64
+        (self.unwritten_bills.len() + self.sent_bills.len() + self.late.len()) as u64
     }
 
     pub(super) fn is_draining(&self) -> bool {
@@ -330,5 +333,5 @@
     }
 }
 
-/// The first journal of a process; the number grows when it finds its journal closed.
-const FIRST_LIFE: u32 = 1;
+/// Number of a process's first journal; the next one starts whenever it finds its journal closed.
+const FIRST_JOURNAL: u32 = 1;
--- a/crates/beechsaddle-core/src/money/budget_account.rs
+++ b/crates/beechsaddle-core/src/accounting/budget_account.rs
@@ -1,4 +1,4 @@
-//! The `budget_account` module provides one budget of the ledger and the arithmetic on it.
+//! The `budget_account` module provides the ledger account of a budget and its arithmetic.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,83 +9,84 @@
 use crate::clock::ClockTime;
 use crate::names::{KeyText, OwnerName, RequestKey, TopUpId, WorkspaceName};
 
-/// One budget, in tokens.
+/// The ledger account of one budget; amounts are in tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetAccount {
-    /// The workspace that may spend it.
+    /// Workspace that may spend the budget.
     pub workspace: WorkspaceName,
-    /// Who answers for it.
+    /// Owner responsible for the budget.
     pub owner: OwnerName,
-    /// What was paid in, each once.
+    /// Payments by id; each id is applied once.
     pub top_ups: BTreeMap<TopUpId, u64>,
-    /// What was taken out again, each once.
+    /// Withdrawals by id; each id is applied once.
     pub withdrawals: BTreeMap<TopUpId, u64>,
-    /// What was billed.
+    /// Tokens billed.
     pub settled: u64,
-    /// How many bills that are.
+    /// Number of bills in `settled`.
     pub bills: u64,
-    /// What may have been spent by routers that died, and runs that another bill stands for.
+    /// Tokens that routers may have spent before they died, and tokens of runs whose key is billed
+    /// for another run.
     pub written_off: u64,
-    /// Open grants by the journal that marks them.
+    /// Open grants, by the journal whose marks cover them.
     pub grants: BTreeMap<KeyText, OpenGrant>,
-    /// Grants of closed journals whose late bills can still be taken against the write-off.
+    /// Remainders of closed journals, retained while late bills can be taken against the write-off.
     pub closed: BTreeMap<KeyText, ClosedGrant>,
-    /// Keys billed within the dedup window that may come again, by digest.
+    /// Repeatable keys billed within the dedup window, by digest.
     pub keys: BTreeMap<String, BilledKey>,
-    /// Whether operators removed it: the account is only the record of what was spent.
+    /// Whether operators removed the budget; the account then only records past spending.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub is_removed: bool,
-    /// Top-ups from before a removal. What is left of them was spent; a budget that is declared
-    /// again under the name neither has them nor pays for them.
+    /// Top-ups applied before a removal. Their remainder counts as spent; a budget declared again
+    /// under the same name neither receives nor pays for them.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub retired: BTreeSet<TopUpId>,
 }
 
-/// What a router may spend of a budget, in tokens, counted over the journal's whole life.
+/// Tokens that a router may spend of a budget, counted from the start of its journal.
 ///
-/// Counting over the whole life makes every write state a result instead of a difference, so that
-/// a write repeated after a lost answer changes nothing.
+/// Cumulative counts make every write state a result instead of a difference, so repeating a write
+/// whose reply was lost changes nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenGrant {
-    /// Granted in all.
+    /// Total granted.
     pub amount: u64,
-    /// Of it, already counted into the account's `settled` or `written_off`.
+    /// Part already counted in the account's `settled` or `written_off`.
     pub folded: u64,
     /// Bills in segments before this number are counted.
     pub cursor: u64,
 }
 
-/// What is left of a closed journal's grant, in tokens.
+/// The remainder of a closed journal's grant, in tokens.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClosedGrant {
     /// Written off and not yet claimed by a late bill.
     pub remaining: u64,
-    /// Late bills by call.
+    /// Tokens of late bills, by call.
     pub late: BTreeMap<String, u64>,
-    /// When it was closed, by the folder's clock.
+    /// Time of closing, on the clock of the router that folded the journal.
     pub closed_at: ClockTime,
 }
 
-/// The bill of a caller-made key.
+/// The bill of a repeatable idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BilledKey {
-    /// What is billed for it.
+    /// Tokens billed for the key.
     pub tokens: u64,
-    /// When it was last folded, by the folder's clock.
+    /// Time of the latest fold, on the clock of the router that folded.
     pub folded_at: ClockTime,
 }
 
-/// How many bytes of a key's SHA-256 digest are kept. A caller that could make two of its keys
-/// collide would get two runs for one bill, so the digest is a cryptographic one; 96 bits put the
-/// cost of a collision at 2^48 requests within one dedup window.
+/// Length of a stored key digest, in bytes. A caller with two colliding keys would get two runs for
+/// one bill, so the digest is a cryptographic one (SHA-256); at 96 bits a collision costs 2^48
+/// requests within one dedup window.
 const KEY_DIGEST_BYTES: usize = 12;
 
-/// How many billed keys one account remembers at most. At 63 bytes each they stay under a quarter of
-/// the platform's largest object; beyond it a shard could not be written any more.
+/// Maximum number of billed keys per account. At 63 bytes each they stay below a quarter of the
+/// platform's largest object; a shard beyond that size could not be written any more.
 const MAX_KEYS: usize = 4_000;
 
 impl BudgetAccount {
-    /// An account without tokens.
+    /// Returns an account without tokens.
     pub fn new(workspace: WorkspaceName, owner: OwnerName) -> Self {
         BudgetAccount {
             workspace,
@@ -103,13 +104,13 @@
         }
     }
 
-    /// Tokens paid in and not withdrawn.
+    /// Returns the tokens paid in and not withdrawn.
     pub fn paid(&self) -> u64 {
         let top_ups: u64 = self.top_ups.values().sum();
         top_ups.saturating_sub(self.withdrawals.values().sum())
     }
 
-    /// Tokens that open grants may still spend.
+    /// Returns the tokens that open grants may still spend.
     pub fn granted(&self) -> u64 {
         self.grants
             .values()
@@ -117,19 +118,19 @@
             .sum()
     }
 
-    /// Tokens that are billed, written off or granted.
-    pub fn promised(&self) -> u64 {
+    /// Returns the tokens that are billed, written off or granted.
+    pub fn allocated(&self) -> u64 {
         self.settled
             .saturating_add(self.written_off)
             .saturating_add(self.granted())
     }
 
-    /// Tokens that are neither billed, written off nor granted.
+    /// Returns the tokens that are neither billed, written off nor granted.
     pub fn free(&self) -> u64 {
-        self.paid().saturating_sub(self.promised())
+        self.paid().saturating_sub(self.allocated())
     }
 
-    /// Pays tokens in; tells whether the id was new.
+    /// Adds tokens; returns whether the id was new.
     pub fn top_up(&mut self, id: &TopUpId, tokens: u64) -> bool {
         if self.top_ups.contains_key(id) {
             return false;
@@ -138,7 +139,7 @@
         true
     }
 
-    /// Takes free tokens out; tells whether it did.
+    /// Withdraws free tokens; returns whether it did.
     pub fn withdraw(&mut self, id: &TopUpId, tokens: u64) -> bool {
         if self.withdrawals.contains_key(id) || tokens > self.free() {
             return false;
@@ -147,8 +148,8 @@
         true
     }
 
-    /// Counts those bills of an open grant that are not counted yet, up to segment `end`
-    /// exclusively. Returns how many stood for a key that was billed before.
+    /// Counts the bills of an open grant from its cursor up to, but not including, segment `end`.
+    /// Returns how many were for a key that was already billed.
     pub fn fold_bills(
         &mut self,
         journal: &KeyText,
@@ -177,8 +178,8 @@
         duplicates
     }
 
-    /// Removes the grant of a closed journal: what lies between its bills and its last durable
-    /// mark is written off, what lies above the mark is free again.
+    /// Removes the grant of a closed journal. Tokens between its bills and its last durable mark
+    /// are written off; tokens above the mark become free.
     pub fn close_grant(&mut self, journal: &KeyText, mark: u64, handed_over: bool, now: ClockTime) {
         if self.closed.contains_key(journal) {
             return;
@@ -188,10 +189,10 @@
             remaining = mark.min(grant.amount).saturating_sub(grant.folded);
             self.written_off += remaining;
         }
-        // A frozen holder whose journal was closed may come back, read the account and ask for a
-        // new grant on the strength of an announcement in the closed journal. It would spend what
-        // nobody folds. The record tells it that it was fenced. A holder that closed its own
-        // journal asks for nothing any more.
+        // A suspended holder whose journal was closed may resume, read the account and request a
+        // new grant based on an announcement in the closed journal; its spending would never be
+        // folded. This record shows the holder that it was fenced. A holder that closed its own
+        // journal takes no further grants.
         if handed_over && remaining == 0 {
             return;
         }
@@ -203,8 +204,8 @@
         self.closed.insert(journal.clone(), closed);
     }
 
-    /// Returns what is left of a closed journal's write-off: its owner states that no call of it is
-    /// open any more and that all its bills have come.
+    /// Releases the remaining write-off of a closed journal, once its owner has stated that none of
+    /// its calls is open and all its bills are written.
     pub fn finish_closed(&mut self, journal: &KeyText) {
         if let Some(closed) = self.closed.get_mut(journal) {
             self.written_off = self.written_off.saturating_sub(closed.remaining);
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Removes a grant of which everything is counted; tells whether it did.
+    /// Removes a grant that is counted in full; returns whether it did.
     pub fn try_remove(&mut self, journal: &KeyText) -> bool {
         let is_over = self
             .grants
@@ -224,7 +225,7 @@
         is_over
     }
 
-    /// Forgets keys and closed grants that are older than their retention.
+    /// Drops keys and closed grants that are older than their retention period.
     pub fn prune(&mut self, now: ClockTime, dedup_window_ms: u64, closed_retention_ms: u64) {
         self.keys
             .retain(|_, key| now.since(key.folded_at) <= dedup_window_ms);
@@ -234,8 +235,8 @@
         if excess > 0 {
             let mut times: Vec<ClockTime> = self.keys.values().map(|key| key.folded_at).collect();
             times.sort_unstable();
-            let oldest_kept = times[excess];
-            self.keys.retain(|_, key| key.folded_at >= oldest_kept);
+            let oldest_retained = times[excess];
+            self.keys.retain(|_, key| key.folded_at >= oldest_retained);
         }
     }
 
@@ -244,19 +245,19 @@
         if let Some(grant) = self.grants.get_mut(journal) {
             grant.folded += consumed;
         }
-        self.book(bill, consumed, bill.replaces.is_none(), now)
+        self.post_bill(bill, consumed, bill.replaces.is_none(), now)
     }
 
-    /// Takes a bill against the write-off of a closed journal. The same call may come from its
-    /// holder, which returned, and from a successor: it is counted once.
+    /// Takes a bill against the write-off of a closed journal. The resumed holder and its successor
+    /// may both bill the same call; it is counted once.
     fn fold_late(&mut self, journal: &KeyText, bill: &BillRecord, now: ClockTime) -> bool {
         let free = self.free();
         let Some(closed) = self.closed.get_mut(journal) else {
             return true;
         };
         let call = bill.call.to_string();
-        let earlier = closed.late.get(&call).copied();
-        let counted = earlier.max(bill.replaces);
+        let counted_before = closed.late.get(&call).copied();
+        let counted = counted_before.max(bill.replaces);
         let due = bill.tokens.saturating_sub(counted.unwrap_or(0));
         let claimed = due.min(closed.remaining);
         closed.remaining -= claimed;
@@ -265,15 +266,21 @@
             .insert(call, bill.tokens.max(counted.unwrap_or(0)));
         self.written_off = self.written_off.saturating_sub(claimed);
         // The owner may have stated its final spend while a successor still held this bill. The
-        // tokens were given back then, so the bill is paid from what is free.
+        // tokens were released then, so the bill is paid from free tokens.
         let consumed = claimed + (due - claimed).min(free);
-        self.book(bill, consumed, counted.is_none(), now)
+        self.post_bill(bill, consumed, counted.is_none(), now)
     }
 
-    /// Counts `consumed` tokens for a bill. One key is billed once, at the largest of its runs; the
-    /// tokens of its other runs were consumed all the same and are written off, since giving them
-    /// back would let the targets serve more than was paid for.
-    fn book(&mut self, bill: &BillRecord, consumed: u64, is_first: bool, now: ClockTime) -> bool {
+    /// Counts `consumed` tokens for a bill and returns whether it is a duplicate. A key is billed
+    /// once, at the largest of its runs. Tokens of its other runs were consumed too and are written
+    /// off, because releasing them would let targets serve more than was paid for.
+    fn post_bill(
+        &mut self,
+        bill: &BillRecord,
+        consumed: u64,
+        is_first: bool,
+        now: ClockTime,
+    ) -> bool {
         if !bill.may_repeat() {
             self.settled += consumed;
             self.bills += u64::from(is_first);
--- a/crates/beechsaddle-core/src/money/budget_holding.rs
+++ b/crates/beechsaddle-core/src/accounting/budget_holding.rs
@@ -1,18 +1,19 @@
-//! The `budget_holding` module provides what a router holds of one budget in its open journal.
+//! The `budget_holding` module provides a router's holding of one budget in its open journal.
 
 use std::collections::VecDeque;
 
+use super::accounting_options::AccountingOptions;
 use super::budget_account::BudgetAccount;
 use super::demand_meter::DemandMeter;
 use super::grant_sizing::GrantView;
 use super::journal_segment::BillRecord;
-use super::money_options::MoneyOptions;
 use crate::clock::ClockTime;
 use crate::names::{BudgetName, KeyText, WorkspaceName};
 use crate::peer::AdmitRequest;
 use crate::status::GrantStatus;
 
-/// Whether the journal announces a budget, so that whoever fences it looks for a grant there.
+/// Whether the journal announces a budget, so that a router that fences the journal looks for its
+/// grant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum IntentState {
     #[default]
@@ -28,7 +29,7 @@
     pub(super) since: ClockTime,
 }
 
-/// What the ledger said of the budget when it was last read.
+/// The state of the budget at the latest ledger read.
 #[derive(Clone, Debug)]
 pub(super) struct AccountView {
     pub(super) workspace: Option<WorkspaceName>,
@@ -37,42 +38,43 @@
     pub(super) read_at: ClockTime,
 }
 
-/// What a router holds of one budget, in tokens counted over the journal's whole life.
+/// A router's holding of one budget, in tokens counted from the start of the journal.
 #[derive(Debug, Default)]
 pub(super) struct BudgetHolding {
     pub(super) intent: IntentState,
-    /// Whether the ledger has to name the budget before the journal does.
-    pub(super) is_unproved: bool,
-    /// Whether the ledger has a grant of the journal, whatever its amount.
-    pub(super) has_entry: bool,
-    /// Granted for certain.
+    /// Whether the budget must be found in the ledger before the journal announces it.
+    pub(super) is_unverified: bool,
+    /// Whether the ledger has a grant of the journal, of any amount.
+    pub(super) has_grant: bool,
+    /// Tokens that are certain to be granted.
     pub(super) amount: u64,
-    /// The durable mark.
+    /// The durable high-water mark.
     pub(super) mark: u64,
-    /// The mark of a segment that is being written.
+    /// The mark in the segment that is being written.
     pub(super) mark_sent: Option<u64>,
     pub(super) spent: u64,
     pub(super) reserved: u64,
-    /// Durable bills that the ledger has not counted, by segment.
+    /// Durable bills that the ledger has not counted, by segment number.
     pub(super) unfolded: Vec<(u64, BillRecord)>,
-    /// Durable statements of final spends that the ledger has not counted, by segment.
+    /// Journals with a durable final spend that the ledger has not counted, by segment number.
     pub(super) finals: Vec<(u64, KeyText)>,
-    /// When the oldest of both became durable.
+    /// When the oldest entry of `unfolded` and `finals` became durable.
     pub(super) unfolded_since: Option<ClockTime>,
     pub(super) account: Option<AccountView>,
     pub(super) waiting: VecDeque<WaitingAdmit>,
-    /// When the ledger was read last without anything to change; cleared by a new request.
+    /// When the ledger was last read and needed no change; cleared by a new request.
     pub(super) checked_at: Option<ClockTime>,
     pub(super) demand: DemandMeter,
-    pub(super) asked_at: ClockTime,
-    /// Late bills of closed journals wait for the grant's entry, even of nothing.
+    pub(super) requested_at: ClockTime,
+    /// Whether late bills of closed journals need a grant to be folded at, even one of 0 tokens.
     pub(super) has_late: bool,
-    /// A change of the grant is being written; until its outcome is known, a checkpoint has to name
-    /// the budget. Left out, a grant that is made after all would be found by nobody at a fence.
-    pub(super) is_in_doubt: bool,
-    /// The removal of the grant's entry is being written.
-    pub(super) is_leaving: bool,
-    /// The last segment that names the budget; a checkpoint after it leaves the budget out.
+    /// Whether a change of the grant is being written. A checkpoint names the budget until the
+    /// outcome is known; otherwise a router that fences the journal would not find a grant whose
+    /// write took effect.
+    pub(super) is_change_pending: bool,
+    /// Whether removal of the grant is being written.
+    pub(super) is_removal_pending: bool,
+    /// The last segment that names the budget; a later checkpoint leaves it out.
     pub(super) named_in: u64,
 }
 
@@ -81,8 +83,8 @@
         self.spent + self.reserved
     }
 
-    /// How far spending may go: only as far as a mark that is known to be durable, and below a
-    /// lower one that is on its way.
+    /// Returns the spending limit: the lowest of the grant, the durable mark and a mark that is
+    /// being written, so that spending never passes a mark that may not be durable.
     pub(super) fn limit(&self) -> u64 {
         self.mark
             .min(self.mark_sent.unwrap_or(self.mark))
@@ -93,18 +95,18 @@
         self.committed().saturating_add(bound) <= self.limit()
     }
 
-    /// Whether the ledger, when last read, had the tokens.
-    pub(super) fn could_have(&self, bound: u64) -> bool {
+    /// Whether the ledger had enough tokens when last read.
+    pub(super) fn is_affordable(&self, bound: u64) -> bool {
         let free = self.account.as_ref().map_or(0, |account| account.free);
         self.committed().saturating_add(bound) <= self.amount.max(self.committed()) + free
     }
 
-    /// The highest mark that may be durable.
+    /// Returns the highest mark that may be durable.
     pub(super) fn highest_mark(&self) -> u64 {
         self.mark.max(self.mark_sent.unwrap_or(0))
     }
 
-    /// The sum of the waiting bounds that could be had.
+    /// Returns the sum of the waiting bounds that the budget can cover.
     fn waiting_bounds(&self, free: u64) -> u64 {
         let reachable = (self.amount + free).saturating_sub(self.committed());
         let mut sum = 0_u64;
@@ -117,7 +119,7 @@
         sum
     }
 
-    pub(super) fn view(&self, now: ClockTime, options: &MoneyOptions) -> GrantView {
+    pub(super) fn view(&self, now: ClockTime, options: &AccountingOptions) -> GrantView {
         let (free, holders) = self
             .account
             .as_ref()
@@ -128,7 +130,7 @@
     pub(super) fn view_of(
         &self,
         now: ClockTime,
-        options: &MoneyOptions,
+        options: &AccountingOptions,
         journal: &KeyText,
         account: &BudgetAccount,
     ) -> GrantView {
@@ -139,7 +141,7 @@
     fn view_with(
         &self,
         now: ClockTime,
-        options: &MoneyOptions,
+        options: &AccountingOptions,
         free: u64,
         holders: u64,
     ) -> GrantView {
@@ -152,8 +154,8 @@
             holders,
             rate: self.demand.rate(),
             bound: self.demand.bound(),
-            lasting_bound: self.demand.lasting_bound(),
-            is_idle: now.since(self.asked_at) >= options.idle_return_ms,
+            peak_bound: self.demand.peak_bound(),
+            is_idle: now.since(self.requested_at) >= options.idle_return_ms,
         }
     }
 
@@ -164,37 +166,40 @@
             && self.unfolded.is_empty()
             && self.finals.is_empty()
             && !self.has_late
-            && !self.is_in_doubt
+            && !self.is_change_pending
             && self.amount == self.spent
             && self.mark == self.spent
             && self.mark_sent.is_none()
     }
 
-    /// The holding that takes this one's place in a new journal: nothing of the budget is held, but
-    /// the requests and the demand are the same.
+    /// Returns the holding for a new journal: nothing is held, but the requests and the demand are
+    /// carried over.
     pub(super) fn renewed_from(old: BudgetHolding) -> Self {
         BudgetHolding {
-            is_unproved: old.is_unproved,
+            is_unverified: old.is_unverified,
             waiting: old.waiting,
             demand: old.demand,
-            asked_at: old.asked_at,
+            requested_at: old.requested_at,
             ..BudgetHolding::default()
         }
     }
 
-    /// Whether the budget has to be announced in the journal before a grant may be taken.
+    /// Whether the budget must be announced in the journal before a grant may be taken.
     pub(super) fn wants_intent(&self) -> bool {
-        let is_wanted = !self.waiting.is_empty() || (self.has_late && !self.has_entry);
-        self.intent == IntentState::Missing && !self.is_leaving && !self.is_unproved && is_wanted
+        let is_wanted = !self.waiting.is_empty() || (self.has_late && !self.has_grant);
+        self.intent == IntentState::Missing
+            && !self.is_removal_pending
+            && !self.is_unverified
+            && is_wanted
     }
 
-    /// Whether a request waits for the ledger to tell whose the budget is.
-    pub(super) fn waits_for_proof(&self) -> bool {
-        let may_read = self.is_unproved || self.intent == IntentState::Durable;
+    /// Whether a request waits for a ledger read that shows which workspace owns the budget.
+    pub(super) fn waits_for_lookup(&self) -> bool {
+        let may_read = self.is_unverified || self.intent == IntentState::Durable;
         may_read && self.workspace().is_none() && !self.waiting.is_empty()
     }
 
-    /// Whose budget it is, if the ledger has been read and has it.
+    /// Returns the workspace that owns the budget, if the ledger has been read and has it.
     pub(super) fn workspace(&self) -> Option<&WorkspaceName> {
         self.account.as_ref()?.workspace.as_ref()
     }
@@ -209,7 +214,7 @@
             })
     }
 
-    /// Whether a waiting request does not fit the grant.
+    /// Whether a waiting request exceeds the grant.
     pub(super) fn waits_for_grant(&self) -> bool {
         self.waiting.iter().any(|admit| {
             let wanted = self.committed().saturating_add(admit.request.bound);
@@ -217,9 +222,9 @@
         })
     }
 
-    /// Whether a segment that is built now has to name the budget with `mark`.
+    /// Whether a segment built now must name the budget with `mark`.
     pub(super) fn is_named(&self, mark: u64, is_checkpoint: bool) -> bool {
-        if self.is_leaving {
+        if self.is_removal_pending {
             return false;
         }
         let is_announced = self.intent != IntentState::Missing;
@@ -228,17 +233,17 @@
             || (is_checkpoint && !self.is_dormant())
     }
 
-    /// Whether the grant's entry can be removed: nothing is held, and no segment that a reader
-    /// still needs names the budget. Were one to name it, a reader could count its bills again.
-    pub(super) fn can_leave(&self, checkpoint: u64) -> bool {
-        self.has_entry
+    /// Whether the grant can be removed: nothing is held, and no segment that a reader still needs
+    /// names the budget, since a reader would count the bills of a named budget again.
+    pub(super) fn can_remove(&self, checkpoint: u64) -> bool {
+        self.has_grant
             && self.intent == IntentState::Missing
             && self.is_dormant()
             && checkpoint > self.named_in
     }
 
-    /// Takes over what the ledger says. While a write is unresolved, the amount only falls.
-    pub(super) fn adopt(
+    /// Applies the state of the ledger. While a write is unresolved, the amount only decreases.
+    pub(super) fn apply_account(
         &mut self,
         now: ClockTime,
         journal: &KeyText,
@@ -248,7 +253,7 @@
         let grant = account.and_then(|account| account.grants.get(journal));
         match grant {
             Some(grant) => {
-                self.has_entry = true;
+                self.has_grant = true;
                 self.amount = if is_unresolved {
                     self.amount.min(grant.amount)
                 } else {
@@ -260,7 +265,7 @@
                     self.unfolded_since = None;
                 }
             }
-            None if self.has_entry && self.is_leaving => {
+            None if self.has_grant && self.is_removal_pending => {
                 *self = BudgetHolding {
                     intent: IntentState::Missing,
                     named_in: self.named_in,
@@ -270,8 +275,8 @@
             None => {}
         }
         if !is_unresolved {
-            self.is_leaving = false;
-            self.is_in_doubt = false;
+            self.is_removal_pending = false;
+            self.is_change_pending = false;
         }
         let others = account.map_or(0, |account| {
             account
@@ -280,10 +285,10 @@
                 .filter(|name| *name != journal)
                 .count()
         });
-        // A removed budget can be declared again, but meanwhile it is nobody's.
+        // A removed budget belongs to no workspace until it is declared again.
         let declared = account.filter(|account| !account.is_removed);
         if declared.is_some() {
-            self.is_unproved = false;
+            self.is_unverified = false;
         }
         self.account = Some(AccountView {
             workspace: declared.map(|account| account.workspace.clone()),
--- a/crates/beechsaddle-core/src/money/budget_ledger.rs
+++ b/crates/beechsaddle-core/src/accounting/budget_ledger.rs
@@ -1,35 +1,34 @@
-//! The `budget_ledger` module provides one shard of the durable state of budgets.
+//! The `budget_ledger` module provides one shard of the durable budget ledger.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
+use super::accounting_error::{AccountingError, Result};
 use super::budget_account::BudgetAccount;
-use super::money_error::{MoneyError, Result};
 use crate::hash::shard_of;
 use crate::names::{BudgetName, ObjectKey, OwnerName, TopUpId, WorkspaceName};
 
-/// One shard of the ledger: some budgets, at `ledger/<shard>`.
+/// One shard of the ledger, stored at `ledger/<shard>`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetLedger {
-    /// The id of the last write, so that a writer whose answer was lost can recognise its write.
+    /// The id of the last write, by which a writer whose reply was lost recognises its own write.
     pub write_id: String,
-    /// The budgets of this shard.
     pub budgets: BTreeMap<BudgetName, BudgetAccount>,
 }
 
 impl BudgetLedger {
-    /// The shard that a budget is in.
+    /// Returns the shard of a budget.
     pub fn shard_for(budget: &BudgetName, shard_count: u32) -> u32 {
         shard_of(budget, shard_count)
     }
 
-    /// The key of a shard at the platform.
+    /// Returns the platform key of a shard.
     pub fn object_key(shard: u32) -> ObjectKey {
         ObjectKey::new(format!("ledger/{shard}"))
     }
 
-    /// Adds a budget without tokens, unless the workspace has it already.
+    /// Adds a budget without tokens, unless the workspace already has it, and sets its owner.
     pub fn create_account(
         &mut self,
         budget: &BudgetName,
@@ -41,7 +40,7 @@
             .entry(budget.clone())
             .or_insert_with(|| BudgetAccount::new(workspace.clone(), owner.clone()));
         if account.workspace != *workspace {
-            return Err(MoneyError::ForeignBudget {
+            return Err(AccountingError::ForeignBudget {
                 budget: budget.clone(),
                 workspace: account.workspace.clone(),
             });
@@ -50,14 +49,14 @@
         Ok(())
     }
 
-    /// Pays tokens in. An id that was applied before changes nothing; tells whether it was new.
+    /// Adds tokens; returns whether the id was new. An id that was applied before changes nothing.
     pub fn top_up(&mut self, budget: &BudgetName, id: &TopUpId, tokens: u64) -> Result<bool> {
         let account = self.account_mut(budget)?;
         Ok(account.top_up(id, tokens))
     }
 
-    /// Takes tokens out that are neither granted nor billed. An id that was applied before changes
-    /// nothing; tells whether it was new.
+    /// Withdraws tokens that are neither granted nor billed; returns whether the id was new. An id
+    /// that was applied before changes nothing.
     pub fn withdraw(&mut self, budget: &BudgetName, id: &TopUpId, tokens: u64) -> Result<bool> {
         let account = self.account_mut(budget)?;
         if account.withdraw(id, tokens) {
@@ -66,19 +65,20 @@
         if account.withdrawals.contains_key(id) {
             return Ok(false);
         }
-        Err(MoneyError::NotFree {
+        Err(AccountingError::InsufficientTokens {
             budget: budget.clone(),
             free: account.free(),
         })
     }
 
-    /// Checks that no account promises more than was paid in. Every writer calls it first.
+    /// Checks that no account has allocated more than was paid in. Every writer calls this before a
+    /// write.
     pub fn check_invariant(&self) -> Result<()> {
         for (budget, account) in &self.budgets {
-            if account.promised() > account.paid() {
-                return Err(MoneyError::Overspent {
+            if account.allocated() > account.paid() {
+                return Err(AccountingError::Overcommitted {
                     budget: budget.clone(),
-                    promised: account.promised(),
+                    allocated: account.allocated(),
                     paid: account.paid(),
                 });
             }
@@ -89,6 +89,6 @@
     fn account_mut(&mut self, budget: &BudgetName) -> Result<&mut BudgetAccount> {
         self.budgets
             .get_mut(budget)
-            .ok_or_else(|| MoneyError::UnknownBudget(budget.clone()))
+            .ok_or_else(|| AccountingError::UnknownBudget(budget.clone()))
     }
 }
--- a/crates/beechsaddle-core/src/money/demand_meter.rs
+++ b/crates/beechsaddle-core/src/accounting/demand_meter.rs
@@ -1,15 +1,15 @@
-//! The `demand_meter` module provides how fast a budget is spent.
+//! The `demand_meter` module provides the measured demand on a budget.
 
 use crate::clock::ClockTime;
 
-/// How long one measurement takes, in milliseconds.
+/// Length of a measurement window, in milliseconds.
 const WINDOW_MS: u64 = 1_000;
 
-/// How long the largest reservation is kept at least, in milliseconds; twice that is the time after
-/// which an idle grant is given back.
+/// Minimum time for which the largest reservation is retained, in milliseconds; an idle grant is
+/// returned after twice this time.
 const BOUND_SPAN_MS: u64 = 30_000;
 
-/// Averages the tokens that a budget's calls use, and how much they reserve.
+/// Averages the tokens that a budget's calls use and reserve.
 #[derive(Debug, Default)]
 pub(super) struct DemandMeter {
     window_start: ClockTime,
@@ -23,37 +23,37 @@
 }
 
 impl DemandMeter {
-    /// Notes tokens that were used.
-    pub(super) fn note_usage(&mut self, now: ClockTime, tokens: u64) {
+    /// Records used tokens.
+    pub(super) fn record_usage(&mut self, now: ClockTime, tokens: u64) {
         self.roll(now);
         self.window_tokens += tokens;
     }
 
-    /// Notes a reservation that was asked for.
-    pub(super) fn note_bound(&mut self, now: ClockTime, bound: u64) {
+    /// Records the size of a requested reservation.
+    pub(super) fn record_bound(&mut self, now: ClockTime, bound: u64) {
         self.roll(now);
         self.window_bound = self.window_bound.max(bound);
         self.bound = self.bound.max(bound);
         self.span_bound = self.span_bound.max(bound);
     }
 
-    /// Tokens a second, averaged over the last few seconds.
+    /// Returns the usage in tokens per second, averaged over the last few seconds.
     pub(super) fn rate(&self) -> u64 {
         self.rate
     }
 
-    /// The largest reservation of late.
+    /// Returns the largest recent reservation, decaying by an eighth per window.
     pub(super) fn bound(&self) -> u64 {
         self.bound
     }
 
-    /// The largest reservation of the last one to two spans.
-    pub(super) fn lasting_bound(&self) -> u64 {
+    /// Returns the largest reservation of the last one to two spans of `BOUND_SPAN_MS`.
+    pub(super) fn peak_bound(&self) -> u64 {
         self.span_bound.max(self.earlier_bound)
     }
 
-    /// Ends the windows that have passed. Rising demand is followed at once, falling demand slowly,
-    /// since a grant that is too small refuses requests and one that is too large comes back.
+    /// Closes the windows that have elapsed. The rate follows rising demand at once and falling
+    /// demand slowly, since too small a grant refuses requests while too large a one is returned.
     pub(super) fn roll(&mut self, now: ClockTime) {
         self.roll_bound(now);
         let elapsed_ms = now.since(self.window_start);
@@ -61,17 +61,17 @@
             return;
         }
         let windows = elapsed_ms / WINDOW_MS;
-        let seen = self.window_tokens / windows;
-        self.rate = if seen > self.rate {
-            seen
+        let measured = self.window_tokens / windows;
+        self.rate = if measured > self.rate {
+            measured
         } else {
             let decay = windows.min(32);
             (0..decay).fold(self.rate, |rate, _| {
-                rate - rate.saturating_sub(seen).div_ceil(8)
+                rate - rate.saturating_sub(measured).div_ceil(8)
             })
         };
-        let kept = (0..windows.min(32)).fold(self.bound, |bound, _| bound - bound / 8);
-        self.bound = kept.max(self.window_bound);
+        let decayed = (0..windows.min(32)).fold(self.bound, |bound, _| bound - bound / 8);
+        self.bound = decayed.max(self.window_bound);
         self.window_tokens = 0;
         self.window_bound = 0;
         self.window_start = now;
--- a/crates/beechsaddle-core/src/money/entry_call.rs
+++ b/crates/beechsaddle-core/src/accounting/entry_call.rs
@@ -1,4 +1,4 @@
-//! The `entry_call` module provides what an entry router knows of the money of one of its calls.
+//! The `entry_call` module provides the accounting state of a call at its entry router.
 
 use std::collections::BTreeSet;
 
@@ -6,20 +6,20 @@
 use crate::names::{KeyText, RouterIncarnation};
 use crate::peer::{AdmitRequest, SettleRequest, WitnessNote};
 
-/// How far a call is.
+/// The stage of a call at its entry router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EntryStage {
-    /// The holder was asked and has not answered.
-    Asking,
-    /// The holder reserved.
+    /// An admit request was sent and not answered.
+    Admitting,
+    /// The holder has reserved for the call.
     Running,
-    /// The call ended; its bill is not known to be durable.
+    /// The call has ended; its bill is not known to be durable.
     Ended,
-    /// The bill is durable; witnesses still have to drop their copies.
+    /// The bill is durable; backups still have to drop their copies.
     Durable,
 }
 
-/// One call at its entry router.
+/// A call at its entry router.
 #[derive(Debug)]
 pub(super) struct EntryCall {
     pub(super) request: AdmitRequest,
@@ -32,14 +32,14 @@
     pub(super) reported: u64,
     pub(super) ran: bool,
     pub(super) complete: bool,
-    /// Whether the call's last part was let go.
+    /// Whether the last part of the response was released.
     pub(super) is_released: bool,
-    /// Whether a router that did not answer was asked before.
+    /// Whether an earlier holder was asked and did not answer.
     pub(super) is_contested: bool,
-    /// Routers that may keep a copy.
-    pub(super) witnesses: BTreeSet<RouterIncarnation>,
-    /// Who told that the bill is durable, and waits for the confirmation.
-    pub(super) durable_at: Option<RouterIncarnation>,
+    /// Routers that may have a copy of the usage.
+    pub(super) backups: BTreeSet<RouterIncarnation>,
+    /// The router that reported the bill as durable and waits for the confirmation.
+    pub(super) durable_holder: Option<RouterIncarnation>,
 }
 
 impl EntryCall {
@@ -48,7 +48,7 @@
             request,
             holder,
             journal: None,
-            stage: EntryStage::Asking,
+            stage: EntryStage::Admitting,
             stage_since: now,
             sent_at: now,
             tokens: 0,
@@ -57,12 +57,12 @@
             complete: false,
             is_released: false,
             is_contested: false,
-            witnesses: BTreeSet::new(),
-            durable_at: None,
+            backups: BTreeSet::new(),
+            durable_holder: None,
         }
     }
 
-    pub(super) fn enter(&mut self, stage: EntryStage, now: ClockTime) {
+    pub(super) fn set_stage(&mut self, stage: EntryStage, now: ClockTime) {
         self.stage = stage;
         self.stage_since = now;
     }
@@ -80,7 +80,7 @@
         }
     }
 
-    pub(super) fn note(&self) -> Option<WitnessNote> {
+    pub(super) fn usage_copy(&self) -> Option<WitnessNote> {
         let journal = self.journal.clone()?;
         Some(WitnessNote {
             settle: self.settle_request(Some(journal.clone())),
--- a/crates/beechsaddle-core/src/money/desk_turn.rs
+++ b/crates/beechsaddle-core/src/accounting/event_context.rs
@@ -1,19 +1,19 @@
-//! The `desk_turn` module provides what one event lets the money desk see and do.
+//! The `event_context` module provides the inputs and outputs of handling one event.
 
 use crate::members::{MemberLiveness, MemberTable};
 use crate::peer::PeerMessage;
 use crate::prelude::*;
 use crate::report::{CounterName, LogLevel, LogLine, ReportAction};
 
-/// The time, the routers and the outbox of one event.
+/// The time, the members and the outbox of one event.
 #[derive(Debug)]
-pub(super) struct DeskTurn<'a> {
+pub(super) struct EventContext<'a> {
     pub(super) now: ClockTime,
     pub(super) members: &'a MemberTable,
     pub(super) outbox: &'a mut CoreOutbox,
 }
 
-impl DeskTurn<'_> {
+impl EventContext<'_> {
     pub(super) fn send(&mut self, to: &RouterIncarnation, message: PeerMessage) {
         let Some(address) = self.members.address_of(to) else {
             self.count(CounterName::PeerSendFailed);
@@ -51,14 +51,14 @@
         self.outbox.act(ReportAction::Log(line));
     }
 
-    /// Whether another router is known and not heard: it is dead, frozen or cut off.
+    /// Whether another router is known but not live: it is dead, suspended or cut off.
     pub(super) fn is_silent(&self, router: &RouterIncarnation) -> bool {
         let entry = self.members.get(router);
         *router != *self.members.me()
             && entry.is_some_and(|entry| entry.liveness != MemberLiveness::Live)
     }
 
-    /// Whether another router is gone: its process ended, or it is no longer known at all.
+    /// Whether another router is gone: its process ended, or it is no longer a known member.
     pub(super) fn is_gone(&self, router: &RouterIncarnation) -> bool {
         let entry = self.members.get(router);
         entry.is_none_or(|entry| entry.liveness == MemberLiveness::Gone)
--- a/crates/beechsaddle-core/src/money/fold_job.rs
+++ b/crates/beechsaddle-core/src/accounting/fold_job.rs
@@ -1,24 +1,24 @@
-//! The `fold_job` module provides the fencing and the reading of another router's journal.
+//! The `fold_job` module provides fencing and folding of another router's journal.
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use super::accounting_options::AccountingOptions;
 use super::budget_ledger::BudgetLedger;
 use super::journal_name::{journal_prefix, last_checkpoint, read_segment_key, segment_key};
 use super::journal_segment::{BillRecord, FinalSpend, JournalSegment};
 use super::journal_writer::RETRY_MS;
-use super::money_options::MoneyOptions;
 use crate::clock::ClockTime;
 use crate::names::{BudgetName, CallId, KeyText, ObjectKey};
 use crate::objects::PlatformObject;
 use crate::platform::{PlatformCall, PlatformReply, WriteGuard};
 
-/// How long a job that may not close a journal waits before it looks again, in milliseconds.
+/// Delay before a job that may not close a journal looks again, in milliseconds.
 const OPEN_RECHECK_MS: u64 = 2_000;
 
-/// How many keys one list call returns at most, as the platform fixes it.
+/// Maximum number of keys that the platform returns for one list call.
 const LIST_PAGE: usize = 1_000;
 
-/// Closes a journal, reads what a closed journal says and tells which shards it concerns.
+/// Closes a journal, reads it, and selects the ledger shards that it affects.
 #[derive(Debug)]
 pub(super) struct FoldJob {
     journal: KeyText,
@@ -63,7 +63,7 @@
         journal: KeyText,
         may_close: bool,
         write_id: String,
-        options: &MoneyOptions,
+        options: &AccountingOptions,
     ) -> Self {
         FoldJob {
             journal,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Lets the job close the journal: its router is known to be gone.
+    /// Allows the job to close the journal; its router is known to be gone.
     pub(super) fn allow_close(&mut self) {
         if !self.may_close {
             self.may_close = true;
@@ -106,28 +106,28 @@
         self.step == FoldStep::Fold
     }
 
-    /// Whether every shard has taken the journal in.
+    /// Whether the journal is folded into every affected shard.
     pub(super) fn is_done(&self) -> bool {
         self.is_read() && self.shards.is_empty()
     }
 
-    /// Whether a shard still has to take the journal in.
+    /// Whether the journal still has to be folded into a shard.
     pub(super) fn wants_shard(&self, shard: u32) -> bool {
         self.is_read() && self.shards.contains(&shard)
     }
 
-    /// Shards that still have to take the journal in.
+    /// Returns the shards into which the journal still has to be folded.
     pub(super) fn shards(&self) -> impl Iterator<Item = u32> {
         let is_read = self.is_read();
         self.shards.iter().copied().filter(move |_| is_read)
     }
 
-    /// What the journal itself bills for a call, with whether that is provisional.
+    /// Returns the tokens that the journal bills for a call, and whether that bill is provisional.
     pub(super) fn billed(&self, call: &CallId) -> Option<(u64, bool)> {
         self.calls.get(call).copied()
     }
 
-    /// The platform call that is due, if any.
+    /// Returns the platform call that is due, if any.
     pub(super) fn next_call(&mut self, now: ClockTime) -> Option<PlatformCall> {
         if self.is_sent || now < self.retry_at {
             return None;
@@ -157,7 +157,7 @@
         Some(call)
     }
 
-    /// Takes the outcome of the call that was sent.
+    /// Handles the reply to the call that was sent.
     pub(super) fn on_reply(&mut self, now: ClockTime, reply: PlatformReply) {
         self.is_sent = false;
         match (self.step.clone(), reply) {
@@ -191,7 +191,7 @@
                 self.read_range(number);
             }
             // Another segment took the number: the owner's, which is alive after all, or another
-            // router's fence. The list tells.
+            // router's fence. Listing again shows which.
             (FoldStep::Close { .. }, PlatformReply::Conflict) => self.relist(now, 0),
             (FoldStep::ReadRange { number, closed }, PlatformReply::Found(found)) => {
                 let Some(PlatformObject::Segment(segment)) = found.object.as_deref() else {
@@ -209,13 +209,14 @@
             (_, PlatformReply::Throttled { retry_after_ms }) => {
                 self.retry_at = now.plus_ms(retry_after_ms);
             }
-            // A close whose answer was lost is found by listing again, as any other fence is.
+            // A close whose reply was lost is found by listing again, as is any other fence.
             (FoldStep::Close { .. } | FoldStep::ReadLast { .. }, _) => self.relist(now, RETRY_MS),
             (_, _) => self.retry_at = now.plus_ms(RETRY_MS),
         }
     }
 
-    /// Takes the journal into a shard. Tells whether the shard has to be written.
+    /// Folds the journal into a shard. Returns whether the shard must be written, and the number of
+    /// duplicate bills.
     pub(super) fn amend(
         &self,
         shard: u32,
@@ -244,7 +245,7 @@
         (is_changed, duplicates)
     }
 
-    /// Notes that a shard has taken the journal in, when it is seen to have done so.
+    /// Marks a shard as done once its ledger shows that the journal is folded.
     pub(super) fn finish_if_folded(&mut self, shard: u32, ledger: &BudgetLedger) {
         if !self.wants_shard(shard) {
             return;
@@ -286,7 +287,7 @@
     }
 
     fn absorb(&mut self, number: u64, segment: &JournalSegment) {
-        // A checkpoint names every budget that still has a grant. Budgets that it leaves out were
+        // A checkpoint names every budget that still has a grant. Budgets missing from it were
         // returned to the ledger before.
         if number.is_multiple_of(self.checkpoint_every) && !segment.closed {
             self.marks.clear();
@@ -297,8 +298,8 @@
         let carried = segment.carried.iter().cloned();
         let own = segment.bills.iter().map(|bill| (number, bill.clone()));
         for (number, bill) in carried.chain(own) {
-            // A closing segment carries bills too, and some of them were read before, in their own
-            // segments or in the checkpoint.
+            // A closing segment carries bills too, some of which were already read from their own
+            // segments or from the checkpoint.
             let name = (number, bill.call.clone(), bill.tokens, bill.provisional);
             if !self.seen.insert(name) {
                 continue;
--- a/crates/beechsaddle-core/src/money/fold_scan.rs
+++ b/crates/beechsaddle-core/src/accounting/fold_scan.rs
@@ -8,20 +8,20 @@
 use crate::names::{HostName, KeyText, ObjectKey, RouterIncarnation};
 use crate::platform::{PlatformCall, PlatformReply};
 
-/// The time between two searches for the journals of one router, in milliseconds.
+/// Time between two searches for the journals of one router, in milliseconds.
 const RESCAN_MS: u64 = 30_000;
 
-/// How long the search is left to the router that is picked for it, in milliseconds: longer than it
-/// takes that one to hear of the death.
-const OVERLOOKED_MS: u64 = 20_000;
+/// Time for which the search is left to the router picked for it, in milliseconds; longer than that
+/// router needs to learn of the death.
+const DELEGATION_TIMEOUT_MS: u64 = 20_000;
 
-/// How often they are searched for.
+/// Number of searches for the journals of one router.
 ///
-/// A router that was taken for gone while it ran finds its journal closed and goes on with another
-/// one. When it dies without having been heard again, nobody tells of its death a second time, and
-/// after one search only its last grant would stay open and its last bills out of the ledger.
-/// Twenty searches cover ten minutes, longer than a host runs on that the platform has given up; at
-/// 1,500 restarts a day a fleet makes one call in three seconds for it.
+/// A router that was taken for gone while it ran finds its journal closed and starts another one.
+/// If it dies before any message from it arrives, its death is not announced again; after a single
+/// search its last grant would stay open and its last bills out of the ledger. Twenty searches
+/// cover ten minutes, longer than a host that the platform has given up runs on; at 1,500 restarts
+/// a day a fleet makes one call every three seconds for this.
 const SCAN_ROUNDS: u32 = 20;
 
 /// Lists the segments of all journals of one router process, or of all processes of one host.
@@ -33,10 +33,10 @@
     is_sent: bool,
     is_done: bool,
     retry_at: ClockTime,
-    /// How often the search was done.
+    /// Number of completed searches.
     rounds: u32,
-    /// Since when another router is relied on for it.
-    left_since: Option<ClockTime>,
+    /// When the search was first left to another router.
+    delegated_since: Option<ClockTime>,
 }
 
 impl FoldScan {
@@ -44,9 +44,10 @@
         FoldScan::of_prefix(router_prefix(router))
     }
 
-    /// A search for the journals of every router that ever ran on a host.
+    /// Returns a single search for the journals of all routers that ever ran on a host.
     pub(super) fn of_host(host: &HostName) -> Self {
-        // The router that searches its own host runs there: the earlier ones have ended for good.
+        // The router that searches its own host runs there, so earlier routers of the host have
+        // ended for good and one search is enough.
         let mut scan = FoldScan::of_prefix(host_prefix(host));
         scan.rounds = SCAN_ROUNDS - 1;
         scan
@@ -61,22 +62,22 @@
             is_done: false,
             retry_at: ClockTime::ZERO,
             rounds: 0,
-            left_since: None,
+            delegated_since: None,
         }
     }
 
-    /// Whether it was left to another router for long enough.
+    /// Whether the search was left to another router for long enough.
     ///
-    /// The router that is picked may never have heard of the dead one: it started later, or belongs
-    /// to another domain whose bridges alone knew it. The journals would then stay open for ever, and
-    /// their bills unfolded. Those who know of the death search once themselves; folding twice
-    /// changes nothing.
-    pub(super) fn is_overlooked(&mut self, now: ClockTime) -> bool {
-        let since = *self.left_since.get_or_insert(now);
-        self.rounds == 0 && now.since(since) >= OVERLOOKED_MS
+    /// The router picked may never have known the dead one: it started later, or belongs to another
+    /// domain, of which only the bridges knew the dead router. The journals would then stay open
+    /// for ever and their bills unfolded, so every router that knows of the death searches once
+    /// itself; folding twice changes nothing.
+    pub(super) fn is_delegation_overdue(&mut self, now: ClockTime) -> bool {
+        let since = *self.delegated_since.get_or_insert(now);
+        self.rounds == 0 && now.since(since) >= DELEGATION_TIMEOUT_MS
     }
 
-    /// The platform call that is due, if any.
+    /// Returns the platform call that is due, if any.
     pub(super) fn next_call(&mut self, now: ClockTime) -> Option<PlatformCall> {
         let is_over = self.is_done && self.rounds >= SCAN_ROUNDS;
         if self.is_sent || is_over || now < self.retry_at {
@@ -93,7 +94,7 @@
         })
     }
 
-    /// Takes the outcome of the call that was sent; returns the journals when all are known.
+    /// Handles the reply to the call that was sent; returns the journals once all are known.
     pub(super) fn on_reply(
         &mut self,
         now: ClockTime,
@@ -108,7 +109,7 @@
             let name = read_segment_key(&object.key).map(|(journal, _)| journal);
             self.found.extend(name);
         }
-        // A short page may still be followed by another one; only an empty one is the end.
+        // Further pages may follow a short one; only an empty page is the end.
         match objects.last() {
             Some(object) => {
                 self.after = Some(object.key.clone());
--- a/crates/beechsaddle-core/src/money/holder_call.rs
+++ b/crates/beechsaddle-core/src/accounting/holder_call.rs
@@ -1,4 +1,4 @@
-//! The `holder_call` module provides what a holder knows of calls that it reserved for.
+//! The `holder_call` module provides the state of calls at the holder that reserved for them.
 
 use crate::clock::ClockTime;
 use crate::names::KeyText;
@@ -12,11 +12,11 @@
     pub(super) journal: KeyText,
     /// Tokens that the entry router reported.
     pub(super) tokens: u64,
-    /// When the entry router last gave a sign of the call.
-    pub(super) heard: ClockTime,
-    /// Whether its entry router is gone.
+    /// When the entry router last sent a message about the call.
+    pub(super) last_seen_at: ClockTime,
+    /// Whether the entry router is gone.
     pub(super) is_orphaned: bool,
-    /// What was billed provisionally of an orphan.
+    /// Tokens billed provisionally, if the call is an orphan.
     pub(super) provisional: Option<u64>,
 }
 
--- a/crates/beechsaddle-core/src/money/journal_segment.rs
+++ b/crates/beechsaddle-core/src/accounting/journal_segment.rs
@@ -6,16 +6,15 @@
 
 use crate::names::{BudgetName, CallId, KeyOrigin, KeyText, RequestKey};
 
-/// An immutable part of a journal, at `journal/<journal>/<number>`, created if absent.
+/// An immutable part of a journal, stored at `journal/<journal>/<number>` with create-if-absent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JournalSegment {
-    /// The id of this write, so that a writer whose answer was lost can recognise it.
+    /// The id of this write, by which a writer whose reply was lost recognises its own write.
     pub write_id: String,
-    /// Whether this segment closes the journal: the fence.
+    /// Whether this segment closes the journal, which fences its owner.
     pub closed: bool,
-    /// High-water marks that changed, in tokens counted over the journal's whole life.
+    /// Changed high-water marks, in tokens counted from the start of the journal.
     pub marks: BTreeMap<BudgetName, u64>,
-    /// Bills.
     pub bills: Vec<BillRecord>,
     /// In a checkpoint: bills of earlier segments that a reader may still need, each with the
     /// number of the segment that first held it.
@@ -26,40 +25,38 @@
     pub handed_over: bool,
 }
 
-/// States that nothing more of a closed journal's write-off will be claimed for a budget.
+/// A statement that no more of a closed journal's write-off will be claimed for a budget.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FinalSpend {
-    /// The closed journal.
     pub journal: KeyText,
-    /// The budget.
     pub budget: BudgetName,
 }
 
-/// One bill.
+/// The bill of one call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BillRecord {
-    /// The call.
     pub call: CallId,
-    /// Its idempotency key.
+    /// The call's idempotency key.
     pub key: RequestKey,
-    /// The budget.
     pub budget: BudgetName,
-    /// What is billed, in tokens.
+    /// Billed amount in tokens.
     pub tokens: u64,
-    /// What an earlier, provisional bill of the same call said, which this one takes the place of.
+    /// Amount of an earlier provisional bill of the same call, which this bill replaces.
     pub replaces: Option<u64>,
-    /// Whether the entry router died before it told the usage.
+    /// Whether the entry router died before it reported the final usage.
     pub provisional: bool,
-    /// Whether another router may bill the same call too: one that was asked to reserve for it and
-    /// did not answer in time.
+    /// Whether another router may bill the same call: one that was asked to reserve for it and did
+    /// not answer in time.
     pub contested: bool,
-    /// The closed journal whose write-off this bill is taken against, if not this journal's grant.
+    /// The closed journal whose write-off this bill is taken against, if it is not taken against
+    /// this journal's grant.
     pub against: Option<KeyText>,
 }
 
 impl BillRecord {
-    /// Whether the ledger has to look for another bill of the same key. A caller may send its keys
-    /// again, and a call that changed hands may be billed by both; other keys cannot come twice.
+    /// Whether the ledger must look for another bill of the same key. Callers may reuse their keys,
+    /// and a call that moved to another holder may be billed by both; other keys cannot occur
+    /// twice.
     pub fn may_repeat(&self) -> bool {
         self.key.origin == KeyOrigin::Caller
             || self.contested
--- a/crates/beechsaddle-core/src/money/journal_writer.rs
+++ b/crates/beechsaddle-core/src/accounting/journal_writer.rs
@@ -1,4 +1,4 @@
-//! The `journal_writer` module provides the one writer of a router's own journal.
+//! The `journal_writer` module provides the single writer of a router's own journal.
 
 use super::journal_name::segment_key;
 use super::journal_segment::JournalSegment;
@@ -7,7 +7,7 @@
 use crate::objects::PlatformObject;
 use crate::platform::{PlatformCall, PlatformReply, WriteGuard};
 
-/// How long a writer waits after a call without an outcome, in milliseconds.
+/// Delay before a platform call without a definite outcome is repeated, in milliseconds.
 pub(super) const RETRY_MS: u64 = 200;
 
 /// Writes one segment at a time, each under the next free number.
@@ -36,18 +36,16 @@
     ReadBack,
 }
 
-/// What a reply meant for the segment that is being written.
+/// The effect of a reply on the segment that is being written.
 #[derive(Debug)]
 pub(super) enum WriterOutcome {
-    /// Still open.
+    /// The outcome is not known yet.
     Pending,
     /// The segment is durable.
     Durable {
-        /// Its number.
         number: u64,
-        /// Its version at the platform.
+        /// The segment's version at the platform.
         version: u64,
-        /// Its content.
         segment: Box<JournalSegment>,
     },
     /// Another router closed the journal; the segment will never be part of it.
@@ -68,7 +66,7 @@
         &self.journal
     }
 
-    /// The number that the next segment gets.
+    /// Returns the number of the next segment.
     pub(super) fn next_number(&self) -> u64 {
         self.next
     }
@@ -77,8 +75,8 @@
         matches!(self.state, WriterState::Idle)
     }
 
-    /// Starts to write a segment. The content stays the same until its outcome is known: a write
-    /// whose answer was lost may still land, and must then say what the writer believes.
+    /// Starts to write a segment. Its content is fixed until the outcome is known, because a write
+    /// whose reply was lost may still take effect and must then match the writer's state.
     pub(super) fn begin(&mut self, mut segment: JournalSegment) {
         segment.write_id = format!("{}#{}", self.journal, self.next);
         self.state = WriterState::Pending {
@@ -88,7 +86,7 @@
         };
     }
 
-    /// The platform call that is due, if any.
+    /// Returns the platform call that is due, if any.
     pub(super) fn next_call(&mut self, now: ClockTime) -> Option<PlatformCall> {
         let WriterState::Pending {
             segment,
@@ -113,7 +111,7 @@
         }
     }
 
-    /// Takes the outcome of the call that was sent.
+    /// Handles the reply to the call that was sent.
     pub(super) fn on_reply(&mut self, now: ClockTime, reply: PlatformReply) -> WriterOutcome {
         let WriterState::Pending { segment, step, .. } =
             std::mem::replace(&mut self.state, WriterState::Idle)
@@ -134,16 +132,16 @@
     ) -> WriterOutcome {
         match reply {
             PlatformReply::Written { version } => self.finish(segment, version),
-            // The number is taken: by the fence, or by this very write, whose answer was lost
-            // before it was sent again. Only the object itself tells.
-            PlatformReply::Conflict => self.again(now, segment, WriterStep::ReadBack),
+            // The number is taken, either by a fence or by this same write, sent again after its
+            // reply was lost. Only reading the object shows which.
+            PlatformReply::Conflict => self.retry(now, segment, WriterStep::ReadBack),
             PlatformReply::Unknown => {
-                self.again(now.plus_ms(RETRY_MS), segment, WriterStep::ReadBack)
+                self.retry(now.plus_ms(RETRY_MS), segment, WriterStep::ReadBack)
             }
             PlatformReply::Throttled { retry_after_ms } => {
-                self.again(now.plus_ms(retry_after_ms), segment, WriterStep::Write)
+                self.retry(now.plus_ms(retry_after_ms), segment, WriterStep::Write)
             }
-            _ => self.again(now.plus_ms(RETRY_MS), segment, WriterStep::Write),
+            _ => self.retry(now.plus_ms(RETRY_MS), segment, WriterStep::Write),
         }
     }
 
@@ -165,17 +163,17 @@
                 self.state = WriterState::Fenced;
                 WriterOutcome::Fenced
             }
-            // The lost write may land later all the same. Writing the same content under the same
-            // number is safe, since only one of the two can take effect.
-            PlatformReply::Absent => self.again(now, segment, WriterStep::Write),
+            // The lost write may still take effect later. Writing the same content under the same
+            // number is safe, since only one of the two can succeed.
+            PlatformReply::Absent => self.retry(now, segment, WriterStep::Write),
             PlatformReply::Throttled { retry_after_ms } => {
-                self.again(now.plus_ms(retry_after_ms), segment, WriterStep::ReadBack)
+                self.retry(now.plus_ms(retry_after_ms), segment, WriterStep::ReadBack)
             }
-            _ => self.again(now.plus_ms(RETRY_MS), segment, WriterStep::ReadBack),
+            _ => self.retry(now.plus_ms(RETRY_MS), segment, WriterStep::ReadBack),
         }
     }
 
-    fn again(
+    fn retry(
         &mut self,
         at: ClockTime,
         segment: Box<JournalSegment>,
--- a/crates/beechsaddle-core/src/money/key_book.rs
+++ b/crates/beechsaddle-core/src/accounting/key_table.rs
@@ -1,4 +1,4 @@
-//! The `key_book` module provides what a holder knows of caller-made idempotency keys.
+//! The `key_table` module provides a holder's state of idempotency keys that callers chose.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +6,12 @@
 use crate::names::{CallId, KeyOrigin, RequestKey, RouterIncarnation};
 use crate::refusal::{CallRefusal, RefusalReason};
 
-/// When a caller should ask again for a key that is running, in milliseconds.
+/// Retry delay for a key that is running, in milliseconds.
 const RUNNING_RETRY_MS: u64 = 1_000;
 
-/// The calls that came with caller-made keys.
+/// The latest call of each key that a caller chose.
 #[derive(Debug, Default)]
-pub(super) struct KeyBook {
+pub(super) struct KeyTable {
     keys: BTreeMap<RequestKey, KeyEntry>,
 }
 
@@ -20,11 +20,11 @@
     call: CallId,
     is_running: bool,
     answers: u32,
-    changed: ClockTime,
+    changed_at: ClockTime,
 }
 
-impl KeyBook {
-    /// Lets a call run, or tells why its key may not run now.
+impl KeyTable {
+    /// Starts a call, or returns why its key may not run now.
     pub(super) fn try_start(
         &mut self,
         now: ClockTime,
@@ -41,15 +41,15 @@
                 call: call.clone(),
                 is_running: true,
                 answers: 0,
-                changed: now,
+                changed_at: now,
             };
             self.keys.insert(key.clone(), entry);
             return Ok(());
         };
-        // The entry router of a running call may have died with the caller's stream, and its host may
-        // stay on the platform's list for long. Its caller would be told all the while that the key
-        // is running. If the router was only cut off, both calls run, and the ledger keeps the
-        // larger of two bills of one key.
+        // The entry router of a running call may have died with the caller's stream, while its host
+        // may stay on the platform's list for long. Until then the caller would be refused because
+        // the key is running. If the router was only cut off, both calls run, and the ledger bills
+        // the larger of the two runs.
         let is_lost = is_silent(&entry.call.router);
         if entry.is_running && entry.call != *call && !is_lost {
             let retry_after_ms = Some(RUNNING_RETRY_MS);
@@ -63,12 +63,18 @@
         }
         entry.call = call.clone();
         entry.is_running = true;
-        entry.changed = now;
+        entry.changed_at = now;
         Ok(())
     }
 
-    /// Notes that a call ended; an answer that broke off may be asked for again without limit.
-    pub(super) fn finish(&mut self, now: ClockTime, key: &RequestKey, call: &CallId, whole: bool) {
+    /// Records the end of a call. An incomplete response may be requested again without limit.
+    pub(super) fn finish(
+        &mut self,
+        now: ClockTime,
+        key: &RequestKey,
+        call: &CallId,
+        is_complete: bool,
+    ) {
         let Some(entry) = self.keys.get_mut(key) else {
             return;
         };
@@ -76,18 +82,18 @@
             return;
         }
         entry.is_running = false;
-        entry.changed = now;
-        entry.answers += u32::from(whole);
-        // A key without an answer may start as if it were new. Keeping it would let refused calls
-        // fill the memory for as long as the dedup window.
+        entry.changed_at = now;
+        entry.answers += u32::from(is_complete);
+        // A key without a complete response may start as if it were new. Retaining it would let
+        // refused calls fill the memory for the whole dedup window.
         if entry.answers == 0 {
             self.keys.remove(key);
         }
     }
 
-    /// Forgets keys that ended longer ago than the dedup window.
+    /// Drops keys whose last call ended before the dedup window.
     pub(super) fn prune(&mut self, now: ClockTime, window_ms: u64) {
         self.keys
-            .retain(|_, entry| entry.is_running || now.since(entry.changed) <= window_ms);
+            .retain(|_, entry| entry.is_running || now.since(entry.changed_at) <= window_ms);
     }
 }
--- a/crates/beechsaddle-core/src/money/lookup_book.rs
+++ b/crates/beechsaddle-core/src/accounting/lookup_table.rs
@@ -1,4 +1,5 @@
-//! The `lookup_book` module provides which budgets workspaces named that are not known to be theirs.
+//! The `lookup_table` module provides the budget names in requests that are not known to belong to
+//! the calling workspace.
 
 use std::collections::BTreeMap;
 
@@ -6,28 +7,29 @@
 use crate::names::{BudgetName, WorkspaceName};
 use crate::refusal::{CallRefusal, RefusalReason};
 
-/// How many such names one workspace has at a time. It is more than the 26 budgets that a workspace
-/// has on average at the largest size planned for, so that all of them can be used at once after a
-/// start.
+/// Maximum number of such names per workspace. It exceeds the 26 budgets that a workspace has on
+/// average at the largest planned size, so that all of them can be used at once after a start.
 const MAX_WORKSPACE_NAMES: usize = 32;
 
-/// How many such names there are at a time. At 64 bytes a name and as much for its place in the
-/// maps that is half a megabyte.
+/// Maximum number of such names in total. At 64 bytes per name and as much again for its map
+/// entries, this is half a megabyte.
 const MAX_NAMES: usize = 4_096;
 
-/// How many budgets of a workspace are announced in the journal before they are looked up.
+/// Maximum number of budgets of a workspace that are announced in the journal before they are
+/// looked up.
 const MAX_ANNOUNCED: usize = 4;
 
-/// How long a workspace that named a budget it does not have is not trusted, in milliseconds.
-const DISTRUST_MS: u64 = 60_000;
+/// Time for which a workspace that named a budget it does not have gets lookup before announcement,
+/// in milliseconds.
+const MISS_PENALTY_MS: u64 = 60_000;
 
-/// The budgets that workspaces named and that the ledger was not yet read for, or does not have.
+/// The budgets that workspaces named and for which the ledger was not read yet or has no entry.
 ///
-/// Callers choose the names. Were each unknown one looked up and kept, a caller with one valid key
-/// could fill the holder's memory and spend the platform's reads on names it makes up. So each
-/// workspace has few of them at a time; one workspace's bad names cost the others nothing.
+/// Callers choose the names. Without limits a caller with one valid key could fill the holder's
+/// memory and use up the platform's reads with invented names. Limits per workspace keep one
+/// workspace's invalid names from affecting the others.
 #[derive(Debug, Default)]
-pub(super) struct LookupBook {
+pub(super) struct LookupTable {
     workspaces: BTreeMap<WorkspaceName, WorkspaceLookups>,
 }
 
@@ -44,17 +46,18 @@
     is_missed: bool,
 }
 
-/// In which order a budget that is not known yet is looked up and announced in the journal.
+/// The order in which an unknown budget is looked up and announced in the journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LookupOrder {
-    /// Announced at once, which saves a round trip to the platform for the first call.
+    /// Announced at once, which saves the first call a round trip to the platform.
     AnnounceFirst,
-    /// Looked up first: a made-up name never gets into the journal.
+    /// Looked up first, so that an invented name never enters the journal.
     LookUpFirst,
 }
 
-impl LookupBook {
-    /// Lets a budget be looked up for a workspace, or refuses what was just found to be wrong.
+impl LookupTable {
+    /// Registers a lookup of a budget for a workspace, or refuses a budget that was recently found
+    /// not to belong to it.
     pub(super) fn try_open(
         &mut self,
         now: ClockTime,
@@ -67,7 +70,7 @@
         let order = lookups.order();
         if let Some(lookup) = lookups.names.get(budget) {
             return match lookup.is_missed {
-                true => Err(foreign()),
+                true => Err(foreign_budget()),
                 false => Ok(order),
             };
         }
@@ -84,15 +87,15 @@
         Ok(order)
     }
 
-    /// Notes that the ledger has the budget for the workspace.
+    /// Removes the lookup of a budget that the ledger has for the workspace.
     pub(super) fn close(&mut self, workspace: &WorkspaceName, budget: &BudgetName) {
         if let Some(lookups) = self.workspaces.get_mut(workspace) {
             lookups.names.remove(budget);
         }
     }
 
-    /// Notes that the workspace has no such budget.
-    pub(super) fn note_miss(
+    /// Records that the workspace has no such budget.
+    pub(super) fn record_miss(
         &mut self,
         now: ClockTime,
         workspace: &WorkspaceName,
@@ -108,20 +111,20 @@
         }
     }
 
-    /// Forgets what is older than the time after which a budget is read again; with `keeps_open`
-    /// only what was found to be wrong.
-    pub(super) fn prune(&mut self, now: ClockTime, recheck_ms: u64, keeps_open: bool) {
+    /// Drops lookups that are older than the recheck period; with `retains_open`, only those that
+    /// failed.
+    pub(super) fn prune(&mut self, now: ClockTime, recheck_ms: u64, retains_open: bool) {
         for lookups in self.workspaces.values_mut() {
             lookups.names.retain(|_, lookup| {
                 let is_fresh = now.since(lookup.since) < recheck_ms;
-                is_fresh || (keeps_open && !lookup.is_missed)
+                is_fresh || (retains_open && !lookup.is_missed)
             });
         }
         self.workspaces.retain(|_, lookups| {
-            let is_distrusted = lookups
+            let is_penalized = lookups
                 .missed_at
-                .is_some_and(|missed_at| now.since(missed_at) < DISTRUST_MS);
-            is_distrusted || !lookups.names.is_empty()
+                .is_some_and(|missed_at| now.since(missed_at) < MISS_PENALTY_MS);
+            is_penalized || !lookups.names.is_empty()
         });
     }
 }
@@ -135,7 +138,7 @@
     }
 }
 
-/// The refusal of a budget that is another workspace's or nobody's.
-pub(super) fn foreign() -> CallRefusal {
+/// Returns the refusal of a budget that belongs to another workspace or does not exist.
+pub(super) fn foreign_budget() -> CallRefusal {
     CallRefusal::not_run(RefusalReason::ForeignBudget, None)
 }
--- a/crates/beechsaddle-core/src/money/desk_holder.rs
+++ b/crates/beechsaddle-core/src/accounting/manager_holder.rs
@@ -1,73 +1,79 @@
-//! The `desk_holder` module provides what a router does for the budgets that it holds.
+//! The `manager_holder` module provides admission to the budgets that this router holds.
 
+use super::accounting_manager::AccountingManager;
 use super::budget_holding::{BudgetHolding, WaitingAdmit};
-use super::desk_turn::DeskTurn;
+use super::event_context::EventContext;
 use super::holder_call::HolderCall;
-use super::lookup_book::{LookupOrder, foreign};
-use super::money_desk::MoneyDesk;
+use super::lookup_table::{LookupOrder, foreign_budget};
 use crate::peer::{AdmitRequest, PeerMessage};
 use crate::prelude::*;
 
-/// When a caller should ask again for a budget that ran out, in milliseconds. A top-up is spendable
-/// once the ledger is read again.
+/// Retry delay for an exhausted budget, in milliseconds. A top-up can be spent once the ledger is
+/// read again.
 const EXHAUSTED_RETRY_MS: u64 = 1_000;
 
-/// When a caller should ask again while the platform is away, in milliseconds.
+/// Retry delay while the platform is unreachable, in milliseconds.
 const UNREACHABLE_RETRY_MS: u64 = 2_000;
 
-impl MoneyDesk {
-    /// Reserves for a call, now or when the grant allows it, or refuses it.
-    pub(super) fn hold_call(&mut self, turn: &mut DeskTurn<'_>, request: AdmitRequest) {
+impl AccountingManager {
+    /// Reserves for a call, now or once the grant allows it, or refuses it.
+    pub(super) fn admit_as_holder(
+        &mut self,
+        context: &mut EventContext<'_>,
+        request: AdmitRequest,
+    ) {
         let call = request.call.clone();
-        if call.router != self.me && turn.is_gone(&call.router) {
-            // Its entry router died after it asked. Nobody would use the reservation or end it.
+        if call.router != self.me && context.is_gone(&call.router) {
+            // The entry router died after it sent the request; no router would use or end the
+            // reservation.
             return;
         }
         if let Some(open) = self.open.get(&call) {
             let journal = open.journal.clone();
-            return self.answer_admit(turn, &call, Ok(journal));
+            return self.answer_admit(context, &call, Ok(journal));
         }
         if self.is_waiting(&request) || self.billed.contains_key(&call) {
             return;
         }
         if self.is_draining() {
             let refusal = CallRefusal::not_run(RefusalReason::Draining, Some(0));
-            return self.answer_admit(turn, &call, Err(refusal));
+            return self.answer_admit(context, &call, Err(refusal));
         }
         let max_reruns = self.options.max_reruns;
         let started = self
             .keys
-            .try_start(turn.now, &request.key, &call, max_reruns, |router| {
-                turn.is_silent(router)
+            .try_start(context.now, &request.key, &call, max_reruns, |router| {
+                context.is_silent(router)
             });
         if let Err(refusal) = started {
-            return self.answer_admit(turn, &call, Err(refusal));
+            return self.answer_admit(context, &call, Err(refusal));
         }
-        let order = match self.check_budget(turn.now, &request) {
+        let order = match self.check_budget(context.now, &request) {
             Ok(order) => order,
-            Err(refusal) => return self.refuse(turn, &request, refusal),
+            Err(refusal) => return self.refuse(context, &request, refusal),
         };
         let holding = self.holdings.entry(request.budget.clone()).or_default();
-        holding.asked_at = turn.now;
-        holding.demand.note_bound(turn.now, request.bound);
-        holding.is_unproved |= order == Some(LookupOrder::LookUpFirst);
+        holding.requested_at = context.now;
+        holding.demand.record_bound(context.now, request.bound);
+        holding.is_unverified |= order == Some(LookupOrder::LookUpFirst);
         if holding.can_reserve(request.bound) && order.is_none() {
-            return self.reserve(turn, request);
+            return self.reserve(context, request);
         }
-        if let Some(refusal) = self.refusal_at_once(turn.now, &request) {
-            return self.refuse(turn, &request, refusal);
+        if let Some(refusal) = self.refusal_at_once(context.now, &request) {
+            return self.refuse(context, &request, refusal);
         }
         if let Some(holding) = self.holdings.get_mut(&request.budget) {
             holding.checked_at = None;
             holding.waiting.push_back(WaitingAdmit {
                 request,
-                since: turn.now,
+                since: context.now,
             });
         }
     }
 
-    /// Whether the workspace may use the budget, as far as the ledger was read; in which order it
-    /// is looked up when it was not. Nothing is kept of a budget that is refused here.
+    /// Checks, as far as the ledger was read, that the workspace may use the budget. Returns the
+    /// order of lookup and announcement if the budget is not known yet. A budget refused here
+    /// leaves no state behind.
     fn check_budget(
         &mut self,
         now: ClockTime,
@@ -77,8 +83,8 @@
         let workspace = &request.key.workspace;
         match holding.and_then(BudgetHolding::workspace) {
             Some(owner) if owner == workspace => Ok(None),
-            // A budget never changes hands.
-            Some(_) => Err(foreign()),
+            // A budget never moves to another workspace.
+            Some(_) => Err(foreign_budget()),
             None => {
                 self.prune_lookups(now);
                 let recheck_ms = self.options.recheck_ms;
@@ -89,8 +95,8 @@
         }
     }
 
-    /// Refuses what waits for a budget that the ledger does not have for its workspace.
-    pub(super) fn refuse_foreign(&mut self, turn: &mut DeskTurn<'_>, budget: &BudgetName) {
+    /// Refuses waiting requests of workspaces to which the ledger does not assign the budget.
+    pub(super) fn refuse_foreign(&mut self, context: &mut EventContext<'_>, budget: &BudgetName) {
         let Some(holding) = self.holdings.get_mut(budget) else {
             return;
         };
@@ -100,41 +106,47 @@
         let (own, foreign): (Vec<_>, Vec<_>) = waiting.into_iter().partition(is_own);
         holding.waiting = own.into();
         for admit in foreign {
-            self.refuse_one_foreign(turn, &admit.request);
+            self.refuse_one_foreign(context, &admit.request);
         }
     }
 
-    fn refuse_one_foreign(&mut self, turn: &mut DeskTurn<'_>, request: &AdmitRequest) {
+    fn refuse_one_foreign(&mut self, context: &mut EventContext<'_>, request: &AdmitRequest) {
         let workspace = &request.key.workspace;
-        self.lookups.note_miss(turn.now, workspace, &request.budget);
-        self.refuse(turn, request, foreign());
+        self.lookups
+            .record_miss(context.now, workspace, &request.budget);
+        self.refuse(context, request, foreign_budget());
     }
 
-    /// While the platform is away nothing is looked up, and names that were given up would make
-    /// room for others without end: then those that are open stay.
+    /// Drops expired lookups. Open ones are retained while the platform is unreachable: nothing is
+    /// looked up then, and dropping them would admit any number of further names.
     fn prune_lookups(&mut self, now: ClockTime) {
         let recheck_ms = self.options.recheck_ms;
-        let keeps_open = self.is_away(now);
-        self.lookups.prune(now, recheck_ms, keeps_open);
+        let retains_open = self.is_platform_unreachable(now);
+        self.lookups.prune(now, recheck_ms, retains_open);
     }
 
-    fn is_away(&self, now: ClockTime) -> bool {
-        self.away_since
+    fn is_platform_unreachable(&self, now: ClockTime) -> bool {
+        self.unreachable_since
             .is_some_and(|since| now.since(since) >= self.options.grant_timeout_ms)
     }
 
-    /// Answers everything that waits for a budget and can be answered now.
-    pub(super) fn serve_waiting(&mut self, turn: &mut DeskTurn<'_>, budget: &BudgetName) {
+    /// Answers all requests waiting for a budget that can be answered now.
+    pub(super) fn serve_waiting(&mut self, context: &mut EventContext<'_>, budget: &BudgetName) {
         let Some(holding) = self.holdings.get_mut(budget) else {
             return;
         };
         let waiting = std::mem::take(&mut holding.waiting);
         for admit in waiting {
-            self.serve_one(turn, budget, admit);
+            self.serve_one(context, budget, admit);
         }
     }
 
-    fn serve_one(&mut self, turn: &mut DeskTurn<'_>, budget: &BudgetName, admit: WaitingAdmit) {
+    fn serve_one(
+        &mut self,
+        context: &mut EventContext<'_>,
+        budget: &BudgetName,
+        admit: WaitingAdmit,
+    ) {
         let Some(holding) = self.holdings.get_mut(budget) else {
             return;
         };
@@ -144,28 +156,28 @@
         let workspace = &admit.request.key.workspace;
         let is_foreign = holding.workspace() != Some(workspace);
         if is_read && is_foreign {
-            return self.refuse_one_foreign(turn, &admit.request);
+            return self.refuse_one_foreign(context, &admit.request);
         }
         if !is_foreign {
             self.lookups.close(workspace, budget);
         }
         if holding.can_reserve(bound) && !is_foreign {
-            return self.reserve(turn, admit.request);
+            return self.reserve(context, admit.request);
         }
-        if is_read && !holding.could_have(bound) {
-            return self.refuse(turn, &admit.request, exhausted());
+        if is_read && !holding.is_affordable(bound) {
+            return self.refuse(context, &admit.request, exhausted());
         }
-        if turn.now.since(admit.since) >= self.options.grant_timeout_ms {
-            return self.refuse(turn, &admit.request, unreachable());
+        if context.now.since(admit.since) >= self.options.grant_timeout_ms {
+            return self.refuse(context, &admit.request, unreachable());
         }
         holding.waiting.push_back(admit);
     }
 
-    /// A refusal that needs no look at the ledger: the platform is away, or the ledger was read a
-    /// moment ago and had too little.
+    /// Returns the refusal of a request that needs no ledger read: the platform is unreachable, too
+    /// many requests wait, or the ledger was read within the recheck period and had too few tokens.
     fn refusal_at_once(&self, now: ClockTime, request: &AdmitRequest) -> Option<CallRefusal> {
         let holding = self.holdings.get(&request.budget)?;
-        if self.is_away(now) || holding.waiting.len() >= self.options.max_waiting {
+        if self.is_platform_unreachable(now) || holding.waiting.len() >= self.options.max_waiting {
             return Some(unreachable());
         }
         let account = holding.account.as_ref()?;
@@ -173,10 +185,10 @@
             return None;
         }
         let is_known = account.workspace.is_some();
-        (is_known && !holding.could_have(request.bound)).then(exhausted)
+        (is_known && !holding.is_affordable(request.bound)).then(exhausted)
     }
 
-    fn reserve(&mut self, turn: &mut DeskTurn<'_>, request: AdmitRequest) {
+    fn reserve(&mut self, context: &mut EventContext<'_>, request: AdmitRequest) {
         let call = request.call.clone();
         let journal = self.writer.journal().clone();
         if let Some(holding) = self.holdings.get_mut(&request.budget) {
@@ -186,40 +198,40 @@
             request,
             journal: journal.clone(),
             tokens: 0,
-            heard: turn.now,
+            last_seen_at: context.now,
             is_orphaned: false,
             provisional: None,
         };
         self.open.insert(call.clone(), open);
-        self.answer_admit(turn, &call, Ok(journal));
+        self.answer_admit(context, &call, Ok(journal));
     }
 
     pub(super) fn refuse(
         &mut self,
-        turn: &mut DeskTurn<'_>,
+        context: &mut EventContext<'_>,
         request: &AdmitRequest,
         refusal: CallRefusal,
     ) {
         self.keys
-            .finish(turn.now, &request.key, &request.call, false);
-        self.answer_admit(turn, &request.call, Err(refusal));
+            .finish(context.now, &request.key, &request.call, false);
+        self.answer_admit(context, &request.call, Err(refusal));
     }
 
     fn answer_admit(
         &mut self,
-        turn: &mut DeskTurn<'_>,
+        context: &mut EventContext<'_>,
         call: &CallId,
         outcome: Result<KeyText, CallRefusal>,
     ) {
         if call.router == self.me {
             let me = self.me.clone();
-            return self.on_admit_reply(turn, &me, call, outcome);
+            return self.on_admit_reply(context, &me, call, outcome);
         }
         let message = PeerMessage::AdmitReply {
             call: call.clone(),
             outcome,
         };
-        turn.send(&call.router, message);
+        context.send(&call.router, message);
     }
 
     fn is_waiting(&self, request: &AdmitRequest) -> bool {
@@ -242,8 +254,8 @@
         }
     }
 
-    /// Forgets the requests of a router that is gone. Served later, they would reserve tokens that
-    /// nobody uses and nobody gives back.
+    /// Drops waiting requests of a router that is gone. Served later, they would reserve tokens
+    /// that no router uses or releases.
     pub(super) fn cancel_gone(&mut self, now: ClockTime, gone: &RouterIncarnation) {
         let waiting = self.holdings.values().flat_map(|holding| &holding.waiting);
         let calls: Vec<CallId> = waiting
@@ -255,49 +267,49 @@
         }
     }
 
-    pub(super) fn note_progress(&mut self, now: ClockTime, call: &CallId, tokens: u64) {
+    pub(super) fn record_progress(&mut self, now: ClockTime, call: &CallId, tokens: u64) {
         if let Some(open) = self.open.get_mut(call) {
             open.tokens = open.tokens.max(tokens);
-            open.heard = now;
+            open.last_seen_at = now;
         }
-        if let Some(note) = self.notes.get_mut(call) {
-            note.settle.tokens = note.settle.tokens.max(tokens);
+        if let Some(copy) = self.usage_copies.get_mut(call) {
+            copy.settle.tokens = copy.settle.tokens.max(tokens);
         }
     }
 
-    pub(super) fn tick_holder(&mut self, turn: &mut DeskTurn<'_>) {
+    pub(super) fn tick_holder(&mut self, context: &mut EventContext<'_>) {
         let budgets: Vec<BudgetName> = self.holdings.keys().cloned().collect();
         for budget in &budgets {
             if let Some(holding) = self.holdings.get_mut(budget) {
-                holding.demand.roll(turn.now);
+                holding.demand.roll(context.now);
             }
-            self.serve_waiting(turn, budget);
+            self.serve_waiting(context, budget);
         }
-        self.ask_silent(turn);
-        self.forget_left(turn.now);
-        self.prune_lookups(turn.now);
+        self.query_silent_calls(context);
+        self.drop_unused(context.now);
+        self.prune_lookups(context.now);
         let window_ms = self.options.dedup_window_ms;
-        self.keys.prune(turn.now, window_ms);
-        let now = turn.now;
+        self.keys.prune(context.now, window_ms);
+        let now = context.now;
         self.billed
             .retain(|_, billed| !billed.is_durable || now.since(billed.billed_at) <= window_ms);
         self.closed_calls
-            .retain(|_, told| now.since(*told) <= window_ms);
+            .retain(|_, closed_at| now.since(*closed_at) <= window_ms);
     }
 
-    /// Asks about calls whose entry routers gave no sign for long: they may have given up before
-    /// the admit reply came, and nothing else would end the reservation.
-    fn ask_silent(&mut self, turn: &mut DeskTurn<'_>) {
+    /// Queries calls about which the entry router has long sent nothing. It may have given up
+    /// before the admit reply arrived, and nothing else would end the reservation.
+    fn query_silent_calls(&mut self, context: &mut EventContext<'_>) {
         let mut silent = Vec::new();
         for (call, open) in &mut self.open {
-            let is_silent = turn.now.since(open.heard) >= self.options.silence_ms;
+            let is_silent = context.now.since(open.last_seen_at) >= self.options.silence_ms;
             if is_silent && !open.is_orphaned && call.router != self.me {
-                open.heard = turn.now;
+                open.last_seen_at = context.now;
                 silent.push((call.clone(), open.journal.clone()));
             }
         }
         for (call, journal) in silent {
-            self.answer_admit(turn, &call, Ok(journal));
+            self.answer_admit(context, &call, Ok(journal));
         }
     }
 }
--- a/crates/beechsaddle-core/src/money/desk_journal.rs
+++ b/crates/beechsaddle-core/src/accounting/manager_journal.rs
@@ -1,62 +1,63 @@
-//! The `desk_journal` module provides what a router writes into its own journal and when.
+//! The `manager_journal` module provides the content and timing of writes to a router's own
+//! journal.
 
 use std::collections::BTreeMap;
 
+use super::accounting_manager::{AccountingManager, DrainState, ReplyRoute};
 use super::budget_holding::{BudgetHolding, IntentState};
-use super::desk_turn::DeskTurn;
+use super::event_context::EventContext;
 use super::journal_name::journal_name;
 use super::journal_segment::{BillRecord, FinalSpend, JournalSegment};
 use super::journal_writer::{JournalWriter, WriterOutcome};
-use super::late_bill::ClosedLife;
-use super::money_desk::{DrainState, MoneyDesk, MoneyWait};
+use super::late_bill::FencedJournal;
 use crate::platform::PlatformReply;
 use crate::prelude::*;
 use crate::report::{CounterName, LogLevel};
 
-impl MoneyDesk {
-    pub(super) fn pump_journal(&mut self, turn: &mut DeskTurn<'_>) {
-        if self.writer.is_idle() && self.is_journal_due(turn.now) {
-            let segment = self.build_segment(turn.now);
-            self.written_at = turn.now;
+impl AccountingManager {
+    pub(super) fn dispatch_journal(&mut self, context: &mut EventContext<'_>) {
+        if self.writer.is_idle() && self.is_journal_due(context.now) {
+            let segment = self.build_segment(context.now);
+            self.written_at = context.now;
             self.writer.begin(segment);
         }
-        if let Some(call) = self.writer.next_call(turn.now) {
+        if let Some(call) = self.writer.next_call(context.now) {
             let journal = self.writer.journal().clone();
-            self.issue(turn, MoneyWait::Journal(journal), call);
+            self.issue(context, ReplyRoute::Journal(journal), call);
         }
     }
 
     pub(super) fn on_journal_reply(
         &mut self,
-        turn: &mut DeskTurn<'_>,
+        context: &mut EventContext<'_>,
         journal: &KeyText,
         reply: PlatformReply,
     ) {
         if *journal != *self.writer.journal() {
             return;
         }
-        match self.writer.on_reply(turn.now, reply) {
+        match self.writer.on_reply(context.now, reply) {
             WriterOutcome::Pending => {}
             WriterOutcome::Durable {
                 number,
                 version,
                 segment,
             } => {
-                self.sweeper.note(number, version);
-                self.on_segment(turn, number, &segment);
+                self.sweeper.record(number, version);
+                self.on_segment(context, number, &segment);
             }
-            WriterOutcome::Fenced => self.start_new_life(turn),
+            WriterOutcome::Fenced => self.start_new_journal(context),
         }
     }
 
-    /// Whether the next segment should be written now: at once when a request waits for it, else
-    /// once in a period.
+    /// Whether the next segment is due: at once if a request waits for it, otherwise once per
+    /// period.
     fn is_journal_due(&self, now: ClockTime) -> bool {
         if self.is_closing() {
             return self.drain == DrainState::Closing;
         }
-        let is_period = now.since(self.written_at) >= self.options.journal_period_ms;
-        if is_period && !self.news.is_empty() && self.bill_room() > 0 {
+        let is_period_over = now.since(self.written_at) >= self.options.journal_period_ms;
+        if is_period_over && !self.unwritten_bills.is_empty() && self.bill_room() > 0 {
             return true;
         }
         self.holdings.values().any(|holding| {
@@ -65,12 +66,15 @@
             let target = view.mark_target(&self.options);
             let is_mark_due = holding.intent == IntentState::Durable && view.is_mark_due(target);
             let is_marked = target != holding.mark && is_mark_due;
-            is_urgent || (is_period && is_marked) || (is_period && !self.ready_finals().is_empty())
+            is_urgent
+                || (is_period_over && is_marked)
+                || (is_period_over && !self.ready_finals().is_empty())
         })
     }
 
-    /// How many bills the next segment may hold. While the ledger lags, bills wait: a checkpoint that
-    /// carried them all would outgrow the platform's largest object and could never be written.
+    /// Returns how many bills the next segment may hold. Bills wait while the ledger lags: a
+    /// checkpoint that carried them all would exceed the platform's largest object and could never
+    /// be written.
     fn bill_room(&self) -> usize {
         let unfolded: usize = self
             .holdings
@@ -92,15 +96,17 @@
         let closed = self.drain == DrainState::Closing;
         let is_checkpoint = number.is_multiple_of(self.options.checkpoint_every) || closed;
         let count = if closed {
-            self.news.len()
+            self.unwritten_bills.len()
         } else {
             self.bill_room()
         };
-        let rest = self.news.split_off(count.min(self.news.len()));
-        self.news_sent = std::mem::replace(&mut self.news, rest);
+        let remainder = self
+            .unwritten_bills
+            .split_off(count.min(self.unwritten_bills.len()));
+        self.sent_bills = std::mem::replace(&mut self.unwritten_bills, remainder);
         let mut marks = BTreeMap::new();
         for (budget, holding) in &mut self.holdings {
-            let is_billed = self.news_sent.iter().any(|bill| bill.budget == *budget);
+            let is_billed = self.sent_bills.iter().any(|bill| bill.budget == *budget);
             if is_billed {
                 holding.named_in = number;
             }
@@ -112,15 +118,15 @@
                 let is_due = view.is_mark_due(target) || holding.waits_for_mark();
                 if is_due { target } else { holding.mark }
             };
-            let is_left = closed && holding.has_entry;
-            if is_left || holding.is_named(target, is_checkpoint) {
+            let is_final_mark = closed && holding.has_grant;
+            if is_final_mark || holding.is_named(target, is_checkpoint) {
                 holding.named_in = number;
                 holding.intent = holding.intent.max(IntentState::Sent);
                 holding.mark_sent = Some(target);
                 marks.insert(budget.clone(), target);
             } else if is_checkpoint {
-                // A reader will not learn of this budget any more, so the next grant on it has to
-                // be announced again.
+                // A reader that starts at this checkpoint will not find the budget, so its next
+                // grant must be announced again.
                 holding.intent = IntentState::Missing;
             }
         }
@@ -134,15 +140,16 @@
             write_id: String::new(),
             closed,
             marks,
-            bills: self.news_sent.clone(),
+            bills: self.sent_bills.clone(),
             carried,
             finals,
             handed_over: closed && self.open.is_empty(),
         }
     }
 
-    /// Bills that a reader needs and that are only in segments before this checkpoint: those that
-    /// the ledger has not counted, and those that another router may still hand to a successor.
+    /// Returns the bills that a reader needs and that are only in segments before this checkpoint:
+    /// those not counted by the ledger, and those that another router may still hand to a
+    /// successor.
     fn carried_bills(&mut self) -> Vec<(u64, BillRecord)> {
         self.trim_unconfirmed();
         let unconfirmed = self.unconfirmed.values();
@@ -156,7 +163,7 @@
         carried
     }
 
-    /// Keeps the list of unconfirmed bills within one object's size; the oldest are dropped.
+    /// Limits the unconfirmed bills to the size of one object by dropping the oldest.
     fn trim_unconfirmed(&mut self) {
         let excess = self
             .unconfirmed
@@ -171,12 +178,17 @@
             .map(|(number, _)| *number)
             .collect();
         numbers.sort_unstable();
-        let oldest_kept = numbers[excess];
+        let oldest_retained = numbers[excess];
         self.unconfirmed
-            .retain(|_, (number, _)| *number >= oldest_kept);
+            .retain(|_, (number, _)| *number >= oldest_retained);
     }
 
-    fn on_segment(&mut self, turn: &mut DeskTurn<'_>, number: u64, segment: &JournalSegment) {
+    fn on_segment(
+        &mut self,
+        context: &mut EventContext<'_>,
+        number: u64,
+        segment: &JournalSegment,
+    ) {
         if number.is_multiple_of(self.options.checkpoint_every) && !segment.closed {
             self.checkpoint = number;
             let journal = self.writer.journal().clone();
@@ -193,9 +205,9 @@
                 served.push(budget.clone());
             }
         }
-        self.news_sent.clear();
+        self.sent_bills.clear();
         for bill in &segment.bills {
-            self.on_bill_durable(turn, number, bill);
+            self.on_bill_durable(context, number, bill);
         }
         for stated in &segment.finals {
             let holding = self.holdings.entry(stated.budget.clone()).or_default();
@@ -203,29 +215,29 @@
                 .finals
                 .retain(|(_, journal)| *journal != stated.journal);
             holding.finals.push((number, stated.journal.clone()));
-            holding.unfolded_since = holding.unfolded_since.or(Some(turn.now));
+            holding.unfolded_since = holding.unfolded_since.or(Some(context.now));
         }
         if segment.closed {
             self.drain = DrainState::Folding;
             let journal = self.writer.journal().clone();
-            self.want_job(turn.now, &journal);
+            self.ensure_job(context.now, &journal);
         }
         for budget in served {
-            self.serve_waiting(turn, &budget);
+            self.serve_waiting(context, &budget);
         }
     }
 
-    fn on_bill_durable(&mut self, turn: &mut DeskTurn<'_>, number: u64, bill: &BillRecord) {
+    fn on_bill_durable(&mut self, context: &mut EventContext<'_>, number: u64, bill: &BillRecord) {
         let holding = self.holdings.entry(bill.budget.clone()).or_default();
         holding.unfolded.push((number, bill.clone()));
-        holding.unfolded_since = holding.unfolded_since.or(Some(turn.now));
+        holding.unfolded_since = holding.unfolded_since.or(Some(context.now));
         self.unconfirmed
             .insert(bill.call.clone(), (number, bill.clone()));
         if let Some(billed) = self.billed.get_mut(&bill.call) {
             billed.is_durable = true;
             if !bill.provisional {
                 let call = bill.call.clone();
-                self.tell_durable(turn, &call);
+                self.notify_durable(context, &call);
             }
         }
     }
@@ -243,51 +255,52 @@
         finals
     }
 
-    /// Leaves a journal that another router closed. What was reserved there runs on below a mark
-    /// that is counted as spent; nothing more is reserved there, and its bills are taken late.
-    pub(super) fn start_new_life(&mut self, turn: &mut DeskTurn<'_>) {
+    /// Starts a new journal after another router closed the current one. Existing reservations run
+    /// on below a mark that counts as spent; the closed journal takes no new ones, and its bills
+    /// are taken late.
+    pub(super) fn start_new_journal(&mut self, context: &mut EventContext<'_>) {
         let closed = self.writer.journal().clone();
-        turn.count(CounterName::OwnJournalFenced);
+        context.count(CounterName::OwnJournalFenced);
         let fields = vec![("journal", closed.to_string())];
-        turn.log(LogLevel::Warning, "own_journal_fenced", fields);
-        self.life += 1;
-        self.writer = JournalWriter::new(journal_name(&self.me, self.life));
+        context.log(LogLevel::Warning, "own_journal_fenced", fields);
+        self.journal_number += 1;
+        self.writer = JournalWriter::new(journal_name(&self.me, self.journal_number));
         self.checkpoint = 0;
-        self.sweeper.abandon();
+        self.sweeper.reset();
         self.unconfirmed.clear();
         let old = std::mem::take(&mut self.holdings);
-        let mut life = ClosedLife::default();
+        let mut fenced = FencedJournal::default();
         for (budget, holding) in old {
-            if holding.has_entry {
-                life.budgets.insert(budget.clone());
+            if holding.has_grant {
+                fenced.budgets.insert(budget.clone());
             }
             let renewed = BudgetHolding::renewed_from(holding);
             self.holdings.insert(budget, renewed);
         }
-        self.closed_lives.insert(closed.clone(), life);
-        self.want_job(turn.now, &closed);
-        let mut unsaved = std::mem::take(&mut self.news_sent);
-        unsaved.append(&mut self.news);
+        self.fenced_journals.insert(closed.clone(), fenced);
+        self.ensure_job(context.now, &closed);
+        let mut unsaved = std::mem::take(&mut self.sent_bills);
+        unsaved.append(&mut self.unwritten_bills);
         for bill in unsaved {
             self.billed.remove(&bill.call);
             let journal = bill.against.clone().unwrap_or_else(|| closed.clone());
-            self.add_late(turn, journal, bill);
+            self.add_late(context, journal, bill);
         }
         if self.is_closing() {
             self.drain = DrainState::Ending;
         }
     }
 
-    /// Moves a graceful shutdown on: calls end, bills become durable, then the journal is closed
-    /// with marks that equal what was spent, so that nothing is written off.
-    pub(super) fn pump_drain(&mut self) {
+    /// Advances a graceful shutdown: calls end, bills become durable, then the journal is closed
+    /// with marks equal to the tokens spent, so that nothing is written off.
+    pub(super) fn advance_drain(&mut self) {
         if self.drain == DrainState::Ending {
             let is_open = self.open.values().any(|open| !open.is_orphaned);
             let is_late = !self.late.is_empty() || !self.ready_finals().is_empty();
             if is_open || is_late || self.has_unbilled_calls() || !self.writer.is_idle() {
                 return;
             }
-            let has_written = self.writer.next_number() > 0 || !self.news.is_empty();
+            let has_written = self.writer.next_number() > 0 || !self.unwritten_bills.is_empty();
             self.drain = if has_written {
                 DrainState::Closing
             } else {
@@ -300,7 +313,7 @@
             let is_sent = self
                 .tickets
                 .values()
-                .any(|wait| matches!(wait, MoneyWait::Shard(_)));
+                .any(|route| matches!(route, ReplyRoute::Shard(_)));
             if is_done && !is_sent {
                 self.drain = DrainState::Drained;
                 self.holdings.clear();
--- a/crates/beechsaddle-core/src/money/desk_late.rs
+++ b/crates/beechsaddle-core/src/accounting/manager_late.rs
@@ -1,38 +1,44 @@
-//! The `desk_late` module provides the way of late bills into the journal, and witnessing.
+//! The `manager_late` module provides late bills, final spends and backup copies of other routers'
+//! calls.
 
 use std::collections::BTreeSet;
 
-use super::desk_settle::bill_of;
-use super::desk_turn::DeskTurn;
+use super::accounting_manager::AccountingManager;
+use super::event_context::EventContext;
 use super::journal_name::journal_router;
 use super::journal_segment::{BillRecord, FinalSpend};
 use super::late_bill::LateBill;
-use super::money_desk::MoneyDesk;
+use super::manager_settle::bill_from;
 use crate::peer::{PeerMessage, SettleRequest, WitnessNote};
 use crate::prelude::*;
 
-/// What to do with a late bill now.
+/// The next step for a late bill.
 enum LateStep {
     Wait,
     AlreadyBilled,
     Write(BillRecord),
 }
 
-impl MoneyDesk {
-    pub(super) fn add_late(&mut self, turn: &mut DeskTurn<'_>, journal: KeyText, bill: BillRecord) {
-        self.notes.remove(&bill.call);
+impl AccountingManager {
+    pub(super) fn add_late(
+        &mut self,
+        context: &mut EventContext<'_>,
+        journal: KeyText,
+        bill: BillRecord,
+    ) {
+        self.usage_copies.remove(&bill.call);
         if let Some(late) = self.late.get_mut(&bill.call) {
             late.bill.tokens = late.bill.tokens.max(bill.tokens);
             late.bill.provisional &= bill.provisional;
             return;
         }
-        self.want_job(turn.now, &journal);
+        self.ensure_job(context.now, &journal);
         self.late
             .insert(bill.call.clone(), LateBill { journal, bill });
     }
 
-    /// Takes the usage that an entry router tells again for a bill that still waits.
-    pub(super) fn raise_late(&mut self, request: &SettleRequest) {
+    /// Applies usage that an entry router sends again for a bill that still waits.
+    pub(super) fn update_late(&mut self, request: &SettleRequest) {
         if let Some(late) = self.late.get_mut(&request.call) {
             let tokens = request.tokens.min(request.bound);
             late.bill.tokens = late.bill.tokens.max(tokens);
@@ -40,20 +46,20 @@
         }
     }
 
-    /// Moves late bills into the next segment once their closed journal is folded, and states final
-    /// spends after the last of them.
-    pub(super) fn pump_late(&mut self, turn: &mut DeskTurn<'_>) {
+    /// Moves late bills into the next segment once their closed journal is folded. Final spends are
+    /// stated after the last of them.
+    pub(super) fn dispatch_late_bills(&mut self, context: &mut EventContext<'_>) {
         let calls: Vec<CallId> = self.late.keys().cloned().collect();
         for call in calls {
-            match self.late_step(turn.now, &call) {
+            match self.late_step(context.now, &call) {
                 LateStep::Wait => {}
                 LateStep::AlreadyBilled => {
                     self.late.remove(&call);
-                    self.tell_durable(turn, &call);
+                    self.notify_durable(context, &call);
                 }
                 LateStep::Write(bill) => {
                     self.late.remove(&call);
-                    self.add_bill(turn.now, bill);
+                    self.add_bill(context.now, bill);
                 }
             }
         }
@@ -65,7 +71,7 @@
             return LateStep::Wait;
         };
         let journal = late.journal.clone();
-        self.want_job(now, &journal);
+        self.ensure_job(now, &journal);
         let (Some(job), Some(late)) = (self.jobs.get(&journal), self.late.get(call)) else {
             return LateStep::Wait;
         };
@@ -80,28 +86,29 @@
             None => bill.replaces = None,
         }
         let holding = self.holdings.get(&bill.budget);
-        let has_entry = holding.is_some_and(|holding| holding.has_entry && !holding.is_leaving);
-        if !has_entry || self.is_closing() {
+        let has_grant =
+            holding.is_some_and(|holding| holding.has_grant && !holding.is_removal_pending);
+        if !has_grant || self.is_closing() {
             return LateStep::Wait;
         }
         bill.against = Some(journal);
         LateStep::Write(bill)
     }
 
-    /// Late bills and final spends are folded at the cursor of this router's own grant, which may
-    /// be one of nothing.
+    /// Marks the budgets that need a grant, if only one of 0 tokens: late bills and final spends
+    /// are folded at the cursor of this router's own grant.
     fn mark_late_holdings(&mut self) {
         let mut wanted: BTreeSet<BudgetName> = self
             .late
             .values()
             .map(|late| late.bill.budget.clone())
             .collect();
-        // A bill on its way into the journal still needs the grant's entry afterwards.
-        let news = self.news.iter().chain(&self.news_sent);
-        let against = news.filter(|bill| bill.against.is_some());
+        // A bill that is being written to the journal needs the grant afterwards.
+        let unwritten_bills = self.unwritten_bills.iter().chain(&self.sent_bills);
+        let against = unwritten_bills.filter(|bill| bill.against.is_some());
         wanted.extend(against.map(|bill| bill.budget.clone()));
-        for life in self.closed_lives.values() {
-            wanted.extend(life.budgets.iter().cloned());
+        for fenced in self.fenced_journals.values() {
+            wanted.extend(fenced.budgets.iter().cloned());
         }
         for (budget, holding) in &mut self.holdings {
             holding.has_late = wanted.remove(budget);
@@ -111,19 +118,19 @@
         }
     }
 
-    /// Takes the final spends that can be stated in the segment that is built now.
+    /// Takes the final spends that the next segment can state.
     pub(super) fn take_finals(&mut self) -> Vec<FinalSpend> {
         let finals = self.ready_finals();
         for stated in &finals {
-            self.block_final(&stated.journal, &stated.budget);
+            self.cancel_final(&stated.journal, &stated.budget);
         }
         finals
     }
 
-    /// Final spends of closed journals whose calls have all ended and whose late bills are in an
-    /// earlier segment.
+    /// Returns the final spends of closed journals whose calls have all ended and whose late bills
+    /// are in an earlier segment.
     pub(super) fn ready_finals(&self) -> Vec<FinalSpend> {
-        if self.closed_lives.is_empty() {
+        if self.fenced_journals.is_empty() {
             return Vec::new();
         }
         let open = self
@@ -134,20 +141,21 @@
             .late
             .values()
             .map(|late| (&late.journal, &late.bill.budget));
-        let news = self
-            .news
+        let unwritten_bills = self
+            .unwritten_bills
             .iter()
             .filter_map(|bill| bill.against.as_ref().map(|journal| (journal, &bill.budget)));
-        let busy: BTreeSet<(&KeyText, &BudgetName)> = open.chain(late).chain(news).collect();
+        let busy: BTreeSet<(&KeyText, &BudgetName)> =
+            open.chain(late).chain(unwritten_bills).collect();
         let mut finals = Vec::new();
-        for (journal, life) in &self.closed_lives {
+        for (journal, fenced) in &self.fenced_journals {
             if !self.jobs.get(journal).is_some_and(|job| job.is_done()) {
                 continue;
             }
-            for budget in &life.budgets {
+            for budget in &fenced.budgets {
                 let holding = self.holdings.get(budget);
-                let has_entry = holding.is_some_and(|holding| holding.has_entry);
-                if has_entry && !busy.contains(&(journal, budget)) {
+                let has_grant = holding.is_some_and(|holding| holding.has_grant);
+                if has_grant && !busy.contains(&(journal, budget)) {
                     finals.push(FinalSpend {
                         journal: journal.clone(),
                         budget: budget.clone(),
@@ -158,54 +166,57 @@
         finals
     }
 
-    /// States no final spend of a closed journal for a budget, any more or at all.
-    pub(super) fn block_final(&mut self, journal: &KeyText, budget: &BudgetName) {
-        if let Some(life) = self.closed_lives.get_mut(journal) {
-            life.budgets.remove(budget);
+    /// Removes a budget from a closed journal, so that its final spend is not stated, or not stated
+    /// again.
+    pub(super) fn cancel_final(&mut self, journal: &KeyText, budget: &BudgetName) {
+        if let Some(fenced) = self.fenced_journals.get_mut(journal) {
+            fenced.budgets.remove(budget);
         }
-        self.closed_lives.retain(|_, life| !life.budgets.is_empty());
+        self.fenced_journals
+            .retain(|_, fenced| !fenced.budgets.is_empty());
     }
 
-    pub(super) fn keep_note(
+    pub(super) fn store_copy(
         &mut self,
-        turn: &mut DeskTurn<'_>,
+        context: &mut EventContext<'_>,
         from: &RouterIncarnation,
-        note: WitnessNote,
+        copy: WitnessNote,
     ) {
-        let call = note.settle.call.clone();
+        let call = copy.settle.call.clone();
         if self.is_draining() || self.closed_calls.contains_key(&call) {
             return;
         }
-        let is_ended = note.ended;
+        let is_ended = copy.ended;
         let is_newer = self
-            .notes
+            .usage_copies
             .get(&call)
-            .is_none_or(|kept| is_ended || !kept.ended);
+            .is_none_or(|stored| is_ended || !stored.ended);
         if is_newer {
-            self.notes.insert(call.clone(), note);
+            self.usage_copies.insert(call.clone(), copy);
         }
         if is_ended {
-            turn.send(from, PeerMessage::WitnessReply { call });
+            context.send(from, PeerMessage::WitnessReply { call });
         }
     }
 
-    /// A bill is durable. At the call's entry router another router says so; at a holder or witness
-    /// the entry router confirms that nobody will bill the call again.
+    /// Handles a report that bills are durable. The entry router receives it from the router that
+    /// wrote the bill; a holder or backup receives it as the entry router's confirmation that no
+    /// other router will bill the call.
     pub(super) fn on_durable(
         &mut self,
-        turn: &mut DeskTurn<'_>,
+        context: &mut EventContext<'_>,
         from: &RouterIncarnation,
         calls: Vec<CallId>,
     ) {
         for call in calls {
             if call.router == self.me {
-                self.entry_durable(turn, from, &call);
+                self.entry_durable(context, from, &call);
                 continue;
             }
-            // A copy of the call may still be on its way to here. Kept after this, it would be billed
+            // A copy of the call may still be in transit. If stored after this, it would be billed
             // again when the entry router dies.
-            self.closed_calls.insert(call.clone(), turn.now);
-            self.notes.remove(&call);
+            self.closed_calls.insert(call.clone(), context.now);
+            self.usage_copies.remove(&call);
             self.forwards.remove(&call);
             self.late.remove(&call);
             self.unconfirmed.remove(&call);
@@ -216,58 +227,59 @@
             {
                 self.billed.remove(&call);
             }
-            turn.send(from, PeerMessage::WitnessReply { call });
+            context.send(from, PeerMessage::WitnessReply { call });
         }
     }
 
-    /// What the copies of a router's calls are good for once it is gone.
-    pub(super) fn bill_notes(&mut self, turn: &mut DeskTurn<'_>, gone: &RouterIncarnation) {
+    /// Bills or forwards the copies of a router's calls once that router is gone.
+    pub(super) fn bill_copies(&mut self, context: &mut EventContext<'_>, gone: &RouterIncarnation) {
         let calls: Vec<CallId> = self
-            .notes
+            .usage_copies
             .keys()
             .filter(|call| call.router == *gone)
             .cloned()
             .collect();
         for call in calls {
-            let Some(note) = self.notes.remove(&call) else {
+            let Some(copy) = self.usage_copies.remove(&call) else {
                 continue;
             };
-            let holder = journal_router(&note.journal);
+            let holder = journal_router(&copy.journal);
             let has_holder = holder.is_some_and(|holder| !self.scans.contains_key(&holder));
             if !has_holder {
-                self.bill_note(turn, note);
-            } else if note.ended {
-                // The holder may have heard of the usage or not. It is told, and says what it did.
-                self.forwards.insert(call, note);
+                self.bill_copy(context, copy);
+            } else if copy.ended {
+                // The holder may not have received the usage. It gets the copy and replies what it
+                // did.
+                self.forwards.insert(call, copy);
             }
-            // A holder bills a call that runs as an orphan by itself.
+            // Running calls are billed by the holder itself, as orphans.
         }
     }
 
-    fn bill_note(&mut self, turn: &mut DeskTurn<'_>, note: WitnessNote) {
-        if note.settle.ran {
-            let bill = bill_of(&note.settle, !note.ended);
-            self.add_late(turn, note.journal, bill);
+    fn bill_copy(&mut self, context: &mut EventContext<'_>, copy: WitnessNote) {
+        if copy.settle.ran {
+            let bill = bill_from(&copy.settle, !copy.ended);
+            self.add_late(context, copy.journal, bill);
         }
     }
 
-    /// Tells holders the usage of ended calls whose entry routers are gone, until they confirm.
-    pub(super) fn tick_forwards(&mut self, turn: &mut DeskTurn<'_>) {
-        if turn.now.since(self.forwarded_at) < self.options.resend_ms {
+    /// Sends holders the usage of ended calls whose entry routers are gone, until they confirm.
+    pub(super) fn tick_forwards(&mut self, context: &mut EventContext<'_>) {
+        if context.now.since(self.forwarded_at) < self.options.resend_ms {
             return;
         }
-        self.forwarded_at = turn.now;
-        for (call, note) in self.forwards.clone() {
-            let holder = journal_router(&note.journal);
+        self.forwarded_at = context.now;
+        for (call, copy) in self.forwards.clone() {
+            let holder = journal_router(&copy.journal);
             match holder.filter(|holder| !self.scans.contains_key(holder)) {
                 Some(holder) if holder == self.me => {
                     self.forwards.remove(&call);
-                    self.hold_settle(turn, &holder, note.settle);
+                    self.settle_as_holder(context, &holder, copy.settle);
                 }
-                Some(holder) => turn.send(&holder, PeerMessage::SettleRequest(note.settle)),
+                Some(holder) => context.send(&holder, PeerMessage::SettleRequest(copy.settle)),
                 None => {
                     self.forwards.remove(&call);
-                    self.bill_note(turn, note);
+                    self.bill_copy(context, copy);
                 }
             }
         }
--- a/crates/beechsaddle-core/src/money/desk_ledger.rs
+++ b/crates/beechsaddle-core/src/accounting/manager_ledger.rs
@@ -1,38 +1,40 @@
-//! The `desk_ledger` module provides what a router changes in the ledger's shards and when.
+//! The `manager_ledger` module provides the content and timing of writes to the ledger's shards.
 //!
-//! Refilling and folding are one conditional write: it counts the durable bills, sets the grant, and
-//! takes in closed journals, for all budgets of a shard together.
+//! Refilling and folding are a single conditional write, which counts durable bills, sets the grant
+//! and folds closed journals for all budgets of a shard.
 
 use std::collections::BTreeSet;
 
+use super::accounting_manager::{AccountingManager, ReplyRoute};
+use super::accounting_options::AccountingOptions;
 use super::budget_account::{BudgetAccount, OpenGrant};
 use super::budget_holding::{BudgetHolding, IntentState};
 use super::budget_ledger::BudgetLedger;
-use super::desk_turn::DeskTurn;
+use super::event_context::EventContext;
 use super::fold_scan::FoldScan;
 use super::grant_audit::granted_journals;
-use super::money_desk::{MoneyDesk, MoneyWait};
-use super::money_options::MoneyOptions;
 use super::shard_writer::{ShardStep, ShardWriter};
 use crate::platform::PlatformReply;
 use crate::prelude::*;
 use crate::report::{CounterName, LogLevel};
 
-/// The least time between two reads of a shard for a grant that no request waits for.
+/// Minimum time between two reads of a shard to adjust a grant without waiting requests, in
+/// milliseconds.
 const ADJUST_PERIOD_MS: u64 = 500;
 
-/// The least time between two reads of a shard for a request that the last one did not help.
+/// Minimum time between two reads of a shard for a request that the previous read did not help, in
+/// milliseconds.
 const RECHECK_MS: u64 = 100;
 
-impl MoneyDesk {
-    pub(super) fn pump_shards(&mut self, turn: &mut DeskTurn<'_>) {
+impl AccountingManager {
+    pub(super) fn dispatch_shards(&mut self, context: &mut EventContext<'_>) {
         let mut wanted: BTreeSet<u32> = BTreeSet::new();
         for (budget, holding) in &self.holdings {
-            // A write that failed left the holding with what it had asked for. Without another look
-            // at the ledger the two would differ until the next request, and tokens that were to be
-            // given back would be missing elsewhere.
-            let is_open = holding.is_in_doubt || holding.is_leaving;
-            if is_open || self.wants_ledger(turn.now, holding) {
+            // A failed write leaves the holding with the amount that was requested. Without another
+            // read the two would differ until the next request, and tokens to be returned would be
+            // missing elsewhere.
+            let is_open = holding.is_change_pending || holding.is_removal_pending;
+            if is_open || self.wants_ledger(context.now, holding) {
                 wanted.insert(BudgetLedger::shard_for(budget, self.options.shard_count));
             }
         }
@@ -43,47 +45,47 @@
             .filter(|(_, writer)| writer.is_unresolved());
         wanted.extend(unresolved.map(|(shard, _)| *shard));
         if !self.is_draining() {
-            let MoneyOptions {
+            let AccountingOptions {
                 shard_count,
                 audit_period_ms,
                 ..
             } = self.options;
-            wanted.extend(self.audit.next_due(turn, shard_count, audit_period_ms));
+            wanted.extend(self.audit.next_due(context, shard_count, audit_period_ms));
         }
         for shard in wanted {
             let writer = self
                 .shards
                 .entry(shard)
                 .or_insert_with(|| ShardWriter::new(shard));
-            if let Some(call) = writer.next_call(turn.now) {
-                self.issue(turn, MoneyWait::Shard(shard), call);
+            if let Some(call) = writer.next_call(context.now) {
+                self.issue(context, ReplyRoute::Shard(shard), call);
             }
         }
     }
 
-    /// Whether the ledger has to be read, and most likely written, for a budget.
+    /// Whether the ledger must be read, and most likely written, for a budget.
     fn wants_ledger(&self, now: ClockTime, holding: &BudgetHolding) -> bool {
-        if self.is_closing() || holding.is_leaving {
+        if self.is_closing() || holding.is_removal_pending {
             return false;
         }
         let is_announced = holding.intent == IntentState::Durable;
-        // A request may wait for one before it that takes the last tokens. Reading again at once
-        // would find the same and fill the platform with reads.
+        // A request may wait for an earlier one that takes the last tokens. Reading again at once
+        // would return the same state and flood the platform with reads.
         let is_checked = holding
             .checked_at
             .is_some_and(|checked| now.since(checked) < RECHECK_MS);
-        if holding.waits_for_proof() && !is_checked {
+        if holding.waits_for_lookup() && !is_checked {
             return true;
         }
         let waits_for_grant = holding.waits_for_grant() && !is_checked;
-        if is_announced && (waits_for_grant || (holding.has_late && !holding.has_entry)) {
+        if is_announced && (waits_for_grant || (holding.has_late && !holding.has_grant)) {
             return true;
         }
         let is_full = holding.unfolded.len() * 2 > self.options.max_segment_bills;
         let is_fold_due = holding
             .unfolded_since
             .is_some_and(|since| is_full || now.since(since) >= self.options.fold_period_ms);
-        if (is_fold_due && holding.has_entry) || holding.can_leave(self.checkpoint) {
+        if (is_fold_due && holding.has_grant) || holding.can_remove(self.checkpoint) {
             return true;
         }
         let Some(account) = &holding.account else {
@@ -91,7 +93,7 @@
         };
         let view = holding.view(now, &self.options);
         let target = view.grant_target(&self.options);
-        holding.has_entry
+        holding.has_grant
             && is_announced
             && now.since(account.read_at) >= ADJUST_PERIOD_MS
             && view.is_grant_due(target)
@@ -99,86 +101,86 @@
 
     pub(super) fn on_shard_reply(
         &mut self,
-        turn: &mut DeskTurn<'_>,
+        context: &mut EventContext<'_>,
         shard: u32,
         reply: PlatformReply,
     ) {
         let Some(writer) = self.shards.get_mut(&shard) else {
             return;
         };
-        match writer.on_reply(turn.now, reply) {
+        match writer.on_reply(context.now, reply) {
             ShardStep::Pending => {}
-            ShardStep::Written(ledger) => self.adopt_shard(turn, shard, &ledger, false),
+            ShardStep::Written(ledger) => self.apply_shard(context, shard, &ledger, false),
             ShardStep::Read {
                 version,
                 ledger,
                 is_unresolved,
-            } => self.update_shard(turn, shard, version, ledger, is_unresolved),
+            } => self.update_shard(context, shard, version, ledger, is_unresolved),
         }
     }
 
     fn update_shard(
         &mut self,
-        turn: &mut DeskTurn<'_>,
+        context: &mut EventContext<'_>,
         shard: u32,
         version: u64,
         ledger: BudgetLedger,
         is_unresolved: bool,
     ) {
         if self.is_fenced_in(shard, &ledger) {
-            self.start_new_life(turn);
+            self.start_new_journal(context);
         }
         self.audit.finish(shard);
-        self.fence_unclaimed(turn, &ledger);
-        self.adopt_budgets(turn.now, shard, &ledger, is_unresolved);
-        // Otherwise a grant would be taken for requests that may not use it.
+        self.fence_abandoned(context, &ledger);
+        self.apply_accounts(context.now, shard, &ledger, is_unresolved);
+        // Refuse first: otherwise a grant would be taken for requests that may not use it.
         for budget in self.budgets_of(shard) {
-            self.refuse_foreign(turn, &budget);
+            self.refuse_foreign(context, &budget);
         }
         let mut amended = ledger.clone();
-        let is_changed = self.amend_shard(turn, shard, &mut amended);
+        let is_changed = self.amend_shard(context, shard, &mut amended);
         if !is_changed && !is_unresolved {
             for budget in self.budgets_of(shard) {
                 if let Some(holding) = self.holdings.get_mut(&budget)
                     && holding.intent == IntentState::Durable
                 {
-                    holding.checked_at = Some(turn.now);
+                    holding.checked_at = Some(context.now);
                 }
             }
-            return self.adopt_shard(turn, shard, &ledger, false);
+            return self.apply_shard(context, shard, &ledger, false);
         }
-        // An account that promises more than was paid in would let two holders spend the same
-        // tokens. Nothing that would make one is ever written, whatever led to it.
+        // An account that allocates more than was paid in would let two holders spend the same
+        // tokens, so such a state is never written, whatever caused it.
         if let Err(error) = amended.check_invariant() {
             let fields = vec![("shard", shard.to_string()), ("error", error.to_string())];
-            return turn.log(LogLevel::Error, "ledger_write_refused", fields);
+            return context.log(LogLevel::Error, "ledger_write_refused", fields);
         }
         self.write_count += 1;
         amended.write_id = format!("{}/{}", self.me, self.write_count);
         if let Some(writer) = self.shards.get_mut(&shard) {
             let call = writer.write(version, amended);
-            self.issue(turn, MoneyWait::Shard(shard), call);
+            self.issue(context, ReplyRoute::Shard(shard), call);
         }
     }
 
-    /// Takes over what the ledger says for certain and answers what waits for it.
-    fn adopt_shard(
+    /// Applies a shard's certain state and answers the requests that wait for it.
+    fn apply_shard(
         &mut self,
-        turn: &mut DeskTurn<'_>,
+        context: &mut EventContext<'_>,
         shard: u32,
         ledger: &BudgetLedger,
         is_unresolved: bool,
     ) {
-        self.adopt_budgets(turn.now, shard, ledger, is_unresolved);
+        self.apply_accounts(context.now, shard, ledger, is_unresolved);
         for job in self.jobs.values_mut() {
             job.finish_if_folded(shard, ledger);
         }
         for budget in self.budgets_of(shard) {
-            self.serve_waiting(turn, &budget);
+            self.serve_waiting(context, &budget);
         }
     }
 
-    fn adopt_budgets(
+    fn apply_accounts(
         &mut self,
         now: ClockTime,
         shard: u32,
@@ -191,26 +193,27 @@
                 continue;
             };
             let account = ledger.budgets.get(&budget);
-            holding.adopt(now, &journal, account, is_unresolved);
+            holding.apply_account(now, &journal, account, is_unresolved);
         }
-        self.forget_left(now);
+        self.drop_unused(now);
     }
 
-    /// Forgets budgets that nothing is held of and nobody asked for lately.
-    pub(super) fn forget_left(&mut self, now: ClockTime) {
+    /// Drops budgets of which nothing is held and that no recent request named.
+    pub(super) fn drop_unused(&mut self, now: ClockTime) {
         let idle_ms = self.options.idle_return_ms;
         self.holdings.retain(|_, holding| {
             let is_unused = holding.is_dormant()
-                && !holding.has_entry
-                && !holding.is_leaving
+                && !holding.has_grant
+                && !holding.is_removal_pending
                 && holding.intent == IntentState::Missing;
-            // Names that the ledger does not have are not kept: callers can make up any number.
+            // Names that the ledger does not have are not retained, since callers can make up any
+            // number of them.
             let is_unknown = holding.account.is_some() && holding.workspace().is_none();
-            !is_unused || (!is_unknown && now.since(holding.asked_at) < idle_ms)
+            !is_unused || (!is_unknown && now.since(holding.requested_at) < idle_ms)
         });
     }
 
-    /// Whether the ledger knows this router's journal as closed.
+    /// Whether the ledger lists this router's journal as closed.
     fn is_fenced_in(&self, shard: u32, ledger: &BudgetLedger) -> bool {
         if self.is_closing() {
             return false;
@@ -222,22 +225,24 @@
         })
     }
 
-    /// Fences journals whose routers nobody calls gone: those of earlier processes on hosts that run a later one,
-    /// as when all routers of a domain died together, and those that the audit finds abandoned. Their grants would
-    /// stay open for ever.
-    fn fence_unclaimed(&mut self, turn: &DeskTurn<'_>, ledger: &BudgetLedger) {
-        self.audit.forget_closed(ledger);
+    /// Fences journals whose routers no member reports as gone: those of earlier processes on hosts
+    /// that run a later one, as after all routers of a domain died together, and those that the
+    /// audit finds abandoned. Otherwise their grants would stay open for ever.
+    fn fence_abandoned(&mut self, context: &EventContext<'_>, ledger: &BudgetLedger) {
+        self.audit.prune_closed(ledger);
         let list_lag_ms = self.options.list_lag_ms;
         for (journal, owner) in granted_journals(ledger) {
-            let is_ended = turn.is_replaced(&owner)
-                || self.audit.is_abandoned(turn, &journal, &owner, list_lag_ms);
+            let is_ended = context.is_replaced(&owner)
+                || self
+                    .audit
+                    .is_abandoned(context, &journal, &owner, list_lag_ms);
             if !is_ended {
                 continue;
             }
             self.scans
                 .entry(owner.clone())
                 .or_insert_with(|| FoldScan::new(&owner));
-            self.want_job(turn.now, &journal);
+            self.ensure_job(context.now, &journal);
         }
     }
 
@@ -250,10 +255,10 @@
             .collect()
     }
 
-    /// Changes a shard as everything here needs it; tells whether anything changed.
+    /// Applies all pending changes of this router to a shard; returns whether anything changed.
     fn amend_shard(
         &mut self,
-        turn: &mut DeskTurn<'_>,
+        context: &mut EventContext<'_>,
         shard: u32,
         ledger: &mut BudgetLedger,
     ) -> bool {
@@ -261,7 +266,7 @@
         let mut duplicates = 0;
         for job in self.jobs.values() {
             if job.wants_shard(shard) {
-                let (is_amended, count) = job.amend(shard, ledger, turn.now);
+                let (is_amended, count) = job.amend(shard, ledger, context.now);
                 is_changed |= is_amended;
                 duplicates += count;
             }
@@ -271,18 +276,18 @@
                 let Some(account) = ledger.budgets.get_mut(&budget) else {
                     continue;
                 };
-                let (is_amended, count) = self.amend_account(turn, &budget, account);
+                let (is_amended, count) = self.amend_account(context, &budget, account);
                 is_changed |= is_amended;
                 duplicates += count;
             }
         }
-        turn.add(CounterName::DuplicateBills, duplicates);
+        context.add(CounterName::DuplicateBills, duplicates);
         is_changed
     }
 
     fn amend_account(
         &mut self,
-        turn: &mut DeskTurn<'_>,
+        context: &mut EventContext<'_>,
         budget: &BudgetName,
         account: &mut BudgetAccount,
     ) -> (bool, u64) {
@@ -295,7 +300,7 @@
         let mut is_changed = false;
         if !account.grants.contains_key(&journal) {
             let is_wanted = !holding.waiting.is_empty() || holding.has_late;
-            if holding.intent != IntentState::Durable || !is_wanted || holding.has_entry {
+            if holding.intent != IntentState::Durable || !is_wanted || holding.has_grant {
                 return (false, 0);
             }
             let grant = OpenGrant {
@@ -303,30 +308,30 @@
                 folded: holding.spent,
                 cursor: holding.named_in,
             };
-            holding.is_in_doubt = true;
+            holding.is_change_pending = true;
             account.grants.insert(journal.clone(), grant);
-            turn.count(CounterName::GrantsTaken);
+            context.count(CounterName::GrantsTaken);
             is_changed = true;
         }
         let mut duplicates = 0;
         if !holding.unfolded.is_empty() || !holding.finals.is_empty() {
-            duplicates = account.fold_bills(&journal, &holding.unfolded, next, turn.now);
+            duplicates = account.fold_bills(&journal, &holding.unfolded, next, context.now);
             for (_, closed) in &holding.finals {
                 account.finish_closed(closed);
             }
             account.prune(
-                turn.now,
+                context.now,
                 self.options.dedup_window_ms,
                 self.options.closed_retention_ms,
             );
             is_changed = true;
         }
-        if holding.can_leave(checkpoint) && account.try_remove(&journal) {
-            holding.is_leaving = true;
-            turn.count(CounterName::GrantsReturned);
+        if holding.can_remove(checkpoint) && account.try_remove(&journal) {
+            holding.is_removal_pending = true;
+            context.count(CounterName::GrantsReturned);
             return (true, duplicates);
         }
-        let mut view = holding.view_of(turn.now, &self.options, &journal, account);
+        let mut view = holding.view_of(context.now, &self.options, &journal, account);
         let Some(grant) = account.grants.get_mut(&journal) else {
             return (is_changed, duplicates);
         };
@@ -334,10 +339,10 @@
         let target = view.grant_target(&self.options);
         if target != grant.amount && (is_changed || view.is_grant_due(target)) {
             grant.amount = target;
-            // The write may take effect without an answer: from now on no more may be spent than
-            // the smaller of both amounts.
+            // The write may take effect although its reply is lost, so from now on spending is
+            // limited to the smaller of the two amounts.
             holding.amount = holding.amount.min(target);
-            holding.is_in_doubt = true;
+            holding.is_change_pending = true;
             is_changed = true;
         }
         (is_changed, duplicates)
--- a/crates/beechsaddle-core/src/money/segment_sweeper.rs
+++ b/crates/beechsaddle-core/src/accounting/segment_sweeper.rs
@@ -7,11 +7,11 @@
 use crate::names::{KeyText, ObjectKey};
 use crate::platform::{PlatformCall, PlatformReply};
 
-/// The least time between two deletions, in milliseconds, so that they do not crowd out writes.
+/// Minimum time between two deletions, in milliseconds, so that they do not crowd out writes.
 const SWEEP_PERIOD_MS: u64 = 100;
 
 /// Deletes own segments before the last durable checkpoint, one at a time. A segment that cannot be
-/// deleted stays; it does no harm, since readers start at the checkpoint.
+/// deleted stays, which is harmless since readers start at the checkpoint.
 #[derive(Debug, Default)]
 pub(super) struct SegmentSweeper {
     versions: BTreeMap<u64, u64>,
@@ -21,28 +21,29 @@
 }
 
 impl SegmentSweeper {
-    /// Notes a durable segment.
-    pub(super) fn note(&mut self, number: u64, version: u64) {
+    /// Records a durable segment.
+    pub(super) fn record(&mut self, number: u64, version: u64) {
         self.versions.insert(number, version);
     }
 
-    /// Queues everything before a durable checkpoint.
+    /// Queues all segments before a durable checkpoint for deletion.
     pub(super) fn sweep_before(&mut self, journal: &KeyText, checkpoint: u64) {
-        let kept = self.versions.split_off(&checkpoint);
-        let swept = std::mem::replace(&mut self.versions, kept);
+        let retained = self.versions.split_off(&checkpoint);
+        let swept = std::mem::replace(&mut self.versions, retained);
         for (number, version) in swept {
             self.queue
                 .push_back((segment_key(journal, number), version));
         }
     }
 
-    /// Leaves a journal as it is; its segments belong to whoever folds it.
-    pub(super) fn abandon(&mut self) {
+    /// Drops all queued deletions of a closed journal; its segments belong to the router that folds
+    /// it.
+    pub(super) fn reset(&mut self) {
         self.versions.clear();
         self.queue.clear();
     }
 
-    /// The platform call that is due, if any.
+    /// Returns the platform call that is due, if any.
     pub(super) fn next_call(&mut self, now: ClockTime) -> Option<PlatformCall> {
         if self.is_sent || now.since(self.sent_at) < SWEEP_PERIOD_MS {
             return None;
@@ -53,7 +54,7 @@
         Some(PlatformCall::Delete { key, version })
     }
 
-    /// Takes the outcome of the call that was sent.
+    /// Handles the reply to the call that was sent.
     pub(super) fn on_reply(&mut self, reply: &PlatformReply) {
         self.is_sent = false;
         match reply {
--- a/crates/beechsaddle-core/src/money/shard_writer.rs
+++ b/crates/beechsaddle-core/src/accounting/shard_writer.rs
@@ -1,4 +1,4 @@
-//! The `shard_writer` module provides the conditional update of one ledger shard.
+//! The `shard_writer` module provides conditional updates of one ledger shard.
 
 use super::budget_ledger::BudgetLedger;
 use super::journal_writer::RETRY_MS;
@@ -6,14 +6,14 @@
 use crate::objects::PlatformObject;
 use crate::platform::{PlatformCall, PlatformReply, WriteGuard};
 
-/// Reads a shard, lets it be amended and writes it back; one call in flight at most.
+/// Reads a shard for amendment and writes it back, with at most one call in flight.
 #[derive(Debug)]
 pub(super) struct ShardWriter {
     shard: u32,
     state: ShardState,
     retry_at: ClockTime,
-    /// The version on which a write was based whose outcome is unknown. It may take effect as long
-    /// as the shard has this version.
+    /// The version that a write with unknown outcome was based on. The write may take effect as
+    /// long as the shard has this version.
     unresolved: Option<u64>,
     conflicts: u64,
 }
@@ -25,16 +25,14 @@
     Writing { version: u64, ledger: BudgetLedger },
 }
 
-/// What a reply meant.
+/// The effect of a reply.
 #[derive(Debug)]
 pub(super) enum ShardStep {
-    /// Nothing is known yet.
+    /// The outcome is not known yet.
     Pending,
-    /// The shard as it is; the caller may amend and write it now.
+    /// The shard was read; the caller may amend and write it now.
     Read {
-        /// Its version.
         version: u64,
-        /// Its content.
         ledger: BudgetLedger,
         /// Whether an earlier write may still take effect on this version.
         is_unresolved: bool,
@@ -58,7 +56,7 @@
         self.unresolved.is_some()
     }
 
-    /// The read that starts an update, unless one is under way.
+    /// Returns the read that starts an update, unless one is under way.
     pub(super) fn next_call(&mut self, now: ClockTime) -> Option<PlatformCall> {
         if now < self.retry_at || !matches!(self.state, ShardState::Idle) {
             return None;
@@ -69,7 +67,7 @@
         })
     }
 
-    /// The write of an amended shard.
+    /// Returns the write of an amended shard.
     pub(super) fn write(&mut self, version: u64, ledger: BudgetLedger) -> PlatformCall {
         let call = PlatformCall::Write {
             key: BudgetLedger::object_key(self.shard),
@@ -80,7 +78,7 @@
         call
     }
 
-    /// Takes the outcome of the call that was sent.
+    /// Handles the reply to the call that was sent.
     pub(super) fn on_reply(&mut self, now: ClockTime, reply: PlatformReply) -> ShardStep {
         match std::mem::replace(&mut self.state, ShardState::Idle) {
             ShardState::Idle => ShardStep::Pending,
@@ -128,7 +126,7 @@
                 self.conflicts = 0;
                 ShardStep::Written(ledger)
             }
-            // The version moved on, so no earlier write on it can take effect any more.
+            // The version has changed, so no earlier write on it can take effect any more.
             PlatformReply::Conflict => {
                 self.unresolved = None;
                 self.conflicts += 1;
@@ -150,9 +148,9 @@
     }
 }
 
-/// How long a writer waits after each conflict in a row, in milliseconds, so that many routers at
-/// one shard do not spend the platform's calls on each other's conflicts.
+/// Delay per consecutive conflict, in milliseconds, so that many routers writing one shard do not
+/// spend the platform's calls on each other's conflicts.
 const CONFLICT_PAUSE_MS: u64 = 5;
 
-/// After how many conflicts in a row the wait stops growing.
+/// Number of consecutive conflicts after which the delay stops growing.
 const CONFLICT_PAUSES: u64 = 20;
--- a/crates/beechsaddle-core/src/calls/call_context.rs
+++ b/crates/beechsaddle-core/src/calls/call_context.rs
@@ -1,9 +1,9 @@
 //! The `call_context` module provides the duties that a call's life cycle draws on.
 
+use crate::accounting::AccountingManager;
 use crate::admission::{AdmissionGate, RetryPolicy};
 use crate::catalogue::CatalogueView;
 use crate::members::MemberTable;
-use crate::money::MoneyDesk;
 use crate::once::OnceDesk;
 use crate::outbox::CoreOutbox;
 use crate::targets::TargetTable;
@@ -15,7 +15,7 @@
     /// The routers of the domain.
     pub members: &'a MemberTable,
     /// Budgets and bills.
-    pub money: &'a mut MoneyDesk,
+    pub accounting: &'a mut AccountingManager,
     /// Dedup records.
     pub once: &'a mut OnceDesk,
     /// Targets.
--- a/crates/beechsaddle-core/src/calls/desk_admission.rs
+++ b/crates/beechsaddle-core/src/calls/desk_admission.rs
@@ -31,7 +31,7 @@
                 };
                 self.calls.insert(call, record);
                 context
-                    .money
+                    .accounting
                     .admit(now, request, context.members, context.outbox);
             }
             Err(refusal) => refuse(&call, refusal, context),
--- a/crates/beechsaddle-core/src/calls/desk_endings.rs
+++ b/crates/beechsaddle-core/src/calls/desk_endings.rs
@@ -43,7 +43,7 @@
         };
         if record.is_running(attempt) {
             let tokens = usage.total().min(record.terms.bound);
-            context.money.progress(now, &attempt.call, tokens);
+            context.accounting.progress(now, &attempt.call, tokens);
         }
     }
 
@@ -89,7 +89,7 @@
         record.end = Some(end);
         record.phase = CallPhase::Settling;
         let complete = end == AnswerEnd::Complete;
-        context.money.settle(
+        context.accounting.settle(
             now,
             call,
             record.tokens,
@@ -179,7 +179,7 @@
                 .forget(now, call, &record.terms.key, context.outbox);
         }
         context.gate.ended(now, record.pass, tokens);
-        context.money.settle(
+        context.accounting.settle(
             now,
             call,
             tokens,
--- a/crates/beechsaddle-core/src/catalogue/catalogue_entry.rs
+++ b/crates/beechsaddle-core/src/catalogue/catalogue_entry.rs
@@ -1,6 +1,6 @@
 //! The `catalogue_entry` module provides what operators declare.
 //!
-//! Budgets are declared in the same files, but live in the ledger: see `money`.
+//! Budgets are declared in the same files, but live in the ledger: see `accounting`.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/beechsaddle-core/src/lib.rs
+++ b/crates/beechsaddle-core/src/lib.rs
@@ -7,6 +7,7 @@
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
 
+pub mod accounting;
 pub mod action;
 pub mod admission;
 pub mod backoff;
@@ -18,7 +19,6 @@
 pub mod gateway;
 pub mod hash;
 pub mod members;
-pub mod money;
 pub mod names;
 pub mod objects;
 pub mod once;
--- a/crates/beechsaddle-core/src/objects.rs
+++ b/crates/beechsaddle-core/src/objects.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::accounting::{BudgetLedger, JournalSegment};
 use crate::catalogue::{CatalogueBase, CatalogueChange, CatalogueHead};
 use crate::members::HostList;
-use crate::money::{BudgetLedger, JournalSegment};
 use crate::once::DedupShard;
 use crate::orders::OrderFence;
 
--- a/crates/beechsaddle-core/src/router/core_drain.rs
+++ b/crates/beechsaddle-core/src/router/core_drain.rs
@@ -19,9 +19,12 @@
     pub(super) fn advance_drain(&mut self, now: ClockTime, outbox: &mut CoreOutbox) {
         if self.phase == DrainPhase::EndingCalls && self.calls.open_calls() == 0 {
             self.phase = DrainPhase::HandingOver;
-            self.money.drain(now, self.members.table(), outbox);
+            self.accounting.drain(now, self.members.table(), outbox);
         }
-        if self.phase == DrainPhase::HandingOver && self.money.is_drained() && self.once.is_idle() {
+        if self.phase == DrainPhase::HandingOver
+            && self.accounting.is_drained()
+            && self.once.is_idle()
+        {
             self.phase = DrainPhase::Left;
             self.members.leave(now, outbox);
             outbox.act(CoreAction::Exit);
--- a/crates/beechsaddle-core/src/router/core_inputs.rs
+++ b/crates/beechsaddle-core/src/router/core_inputs.rs
@@ -19,7 +19,9 @@
     ) {
         let members = self.members.table();
         match ticket.duty {
-            PlatformDuty::Money => self.money.on_platform(now, ticket, reply, members, outbox),
+            PlatformDuty::Money => self
+                .accounting
+                .on_platform(now, ticket, reply, members, outbox),
             PlatformDuty::Once => self.once.on_platform(now, ticket, reply, outbox),
             PlatformDuty::Catalogue => {
                 self.catalogue
@@ -38,7 +40,7 @@
 
     pub(super) fn use_layout(&mut self) {
         if let Some(layout) = self.layout.known() {
-            self.money.set_layout(layout);
+            self.accounting.set_layout(layout);
             self.once.set_layout(layout);
         }
     }
@@ -72,7 +74,7 @@
             | PeerMessage::CallUnknown { .. }
             | PeerMessage::WitnessNote(_)
             | PeerMessage::WitnessReply { .. } => {
-                self.money
+                self.accounting
                     .on_peer(now, &from, message, self.members.table(), outbox);
             }
             PeerMessage::RecordRequest(_) | PeerMessage::RecordReply { .. } => {
@@ -134,7 +136,7 @@
                 calls.on_signal(now, signal, &mut context);
             }
             CoreSignal::MemberUp(_) | CoreSignal::MemberDown(_) | CoreSignal::MemberGone(_) => {
-                self.money
+                self.accounting
                     .on_signal(now, signal, self.members.table(), outbox);
             }
             CoreSignal::HostsChanged => {
--- a/crates/beechsaddle-core/src/router/core_reports.rs
+++ b/crates/beechsaddle-core/src/router/core_reports.rs
@@ -25,8 +25,8 @@
         for gauge in GaugeName::ALL {
             let level = match gauge {
                 GaugeName::OpenCalls => self.calls.open_calls() as u64,
-                GaugeName::UnjournalledBills => self.money.unjournalled(),
-                GaugeName::GrantsHeld => self.money.grants().len() as u64,
+                GaugeName::UnjournalledBills => self.accounting.unjournalled(),
+                GaugeName::GrantsHeld => self.accounting.grants().len() as u64,
                 GaugeName::PeersLive => peers,
                 GaugeName::TargetsLive => self.targets.live_count(now),
                 GaugeName::CatalogueRevision => self.catalogue.view().revision(),
@@ -42,9 +42,9 @@
             state: self.state(),
             catalogue_revision: self.catalogue.view().revision(),
             open_calls: self.calls.open_calls() as u64,
-            unjournalled_bills: self.money.unjournalled(),
+            unjournalled_bills: self.accounting.unjournalled(),
             peers: self.members.status(now),
-            grants: self.money.grants(),
+            grants: self.accounting.grants(),
             targets: self.targets.status(now),
         }
     }
--- a/crates/beechsaddle-core/src/router/router_core.rs
+++ b/crates/beechsaddle-core/src/router/router_core.rs
@@ -2,12 +2,12 @@
 
 use super::RouterOptions;
 use super::layout_desk::LayoutDesk;
+use crate::accounting::AccountingManager;
 use crate::admission::{AdmissionGate, RetryPolicy};
 use crate::call::{CallAction, CallEvent};
 use crate::calls::{CallContext, CallDesk};
 use crate::catalogue::CatalogueDesk;
 use crate::members::{HeartbeatUpdate, MemberManager};
-use crate::money::MoneyDesk;
 use crate::once::OnceDesk;
 use crate::orders::OrderDesk;
 use crate::prelude::*;
@@ -38,7 +38,7 @@
     pub(super) phase: DrainPhase,
     pub(super) layout: LayoutDesk,
     pub(super) calls: CallDesk,
-    pub(super) money: MoneyDesk,
+    pub(super) accounting: AccountingManager,
     pub(super) once: OnceDesk,
     pub(super) members: MemberManager,
     pub(super) catalogue: CatalogueDesk,
@@ -59,7 +59,7 @@
             phase: DrainPhase::Serving,
             layout: LayoutDesk::new(options.layout),
             calls: CallDesk::new(options.calls),
-            money: MoneyDesk::new(options.money, me.clone()),
+            accounting: AccountingManager::new(options.accounting, me.clone()),
             once: OnceDesk::new(options.once, me.clone()),
             members: MemberManager::new(
                 options.members,
@@ -117,7 +117,7 @@
 
     /// The grants that it holds.
     pub fn grants(&self) -> Vec<GrantStatus> {
-        self.money.grants()
+        self.accounting.grants()
     }
 
     /// Whether the router can take calls: it has a catalogue and does not drain.
@@ -133,7 +133,7 @@
         let context = CallContext {
             view: self.catalogue.view(),
             members: self.members.table(),
-            money: &mut self.money,
+            accounting: &mut self.accounting,
             once: &mut self.once,
             targets: &mut self.targets,
             gate: &mut self.gate,
@@ -152,7 +152,7 @@
         self.layout.tick(now, outbox);
         let members = self.members.table();
         self.catalogue.tick(now, members, outbox);
-        self.money.tick(now, members, outbox);
+        self.accounting.tick(now, members, outbox);
         self.once.tick(now, members, outbox);
         self.targets.tick(now, members, outbox);
         self.gate.tick(now, members);
--- a/crates/beechsaddle-core/src/router/router_options.rs
+++ b/crates/beechsaddle-core/src/router/router_options.rs
@@ -1,10 +1,10 @@
 //! The `router_options` module provides the settings of all duties of one router.
 
+use crate::accounting::AccountingOptions;
 use crate::admission::{AdmissionOptions, RetryOptions};
 use crate::calls::CallOptions;
 use crate::catalogue::CatalogueOptions;
 use crate::members::MemberOptions;
-use crate::money::MoneyOptions;
 use crate::objects::FleetLayout;
 use crate::once::OnceOptions;
 use crate::orders::OrderOptions;
@@ -27,7 +27,7 @@
     /// Calls.
     pub calls: CallOptions,
     /// Budgets and bills.
-    pub money: MoneyOptions,
+    pub accounting: AccountingOptions,
     /// Dedup records.
     pub once: OnceOptions,
     /// Membership.
--- a/crates/beechsaddle-core/tests/money_lookups.rs
+++ b/crates/beechsaddle-core/tests/accounting_lookups.rs
@@ -1,28 +1,28 @@
-//! Tests of budgets that callers name and that are not theirs, or nobody's.
+//! Tests of requests that name budgets of other workspaces or budgets that do not exist.
 
-mod money_world;
+mod accounting_world;
 
 use std::collections::BTreeSet;
 
+use accounting_world::AccountingWorld;
+use accounting_world::session_steps::{BUDGET, admitted, refusal, world_of};
 use beechsaddle_core::prelude::*;
-use money_world::MoneyWorld;
-use money_world::session_steps::{BUDGET, admitted, refusal, world_of};
 
-/// How much a router keeps, as the length of its text form.
-fn desk_size(world: &mut MoneyWorld, router: usize) -> usize {
-    let size = world.with_desk(router, |desk, _, _, _| format!("{desk:?}").len());
+/// Returns the size of a router's accounting state, as the length of its debug text.
+fn manager_size(world: &mut AccountingWorld, router: usize) -> usize {
+    let size = world.with_manager(router, |manager, _, _, _| format!("{manager:?}").len());
     size.expect("the router runs")
 }
 
-/// The budgets that any journal segment ever named.
-fn journalled(world: &MoneyWorld) -> BTreeSet<BudgetName> {
+/// Returns the budgets that any journal segment ever named.
+fn journalled(world: &AccountingWorld) -> BTreeSet<BudgetName> {
     let segments = world.store.segments.values();
     segments
         .flat_map(|segment| segment.marks.keys().cloned())
         .collect()
 }
 
-fn assert_foreign(world: &MoneyWorld, call: &CallId) {
+fn assert_foreign(world: &AccountingWorld, call: &CallId) {
     let refusal = refusal(world, call);
     assert_eq!(
         (refusal.reason, refusal.ran),
@@ -43,8 +43,8 @@
     assert_eq!(world.account(BUDGET).settled, 0);
 }
 
-// The caller names a budget that another workspace paid for, once before and once while its router
-// holds a grant of it. Were it served, one customer would spend what another paid.
+// A caller names a budget that another workspace paid for, before and while its router holds a
+// grant of it. Serving it would let one workspace spend what another paid for.
 #[test]
 fn admit_budget_of_another_workspace_is_foreign() {
     let mut world = world_of(&["d1"], 1_000);
@@ -65,8 +65,8 @@
     }
 }
 
-// Operators removed a budget, and tokens of a router that was cut off came back to it since then.
-// Its own workspace may not spend them: the budget is no longer declared.
+// A removed budget still has free tokens, as after a router that was cut off returned some. Its own
+// workspace may not spend them, since the budget is no longer declared.
 #[test]
 fn admit_removed_budget_is_foreign() {
     let mut world = world_of(&["d1"], 1_000);
@@ -76,8 +76,8 @@
     assert_foreign(&world, &call);
 }
 
-// A budget is named before operators declare it: the caller is refused, and admitted once the
-// budget is there and the time has passed after which it is looked up again.
+// A caller names a budget before operators declare it. It is refused, then admitted once the budget
+// exists and the recheck period has passed.
 #[test]
 fn admit_budget_declared_later_is_admitted() {
     let mut world = world_of(&["d1"], 1_000);
@@ -91,18 +91,18 @@
     assert!(admitted(&world, &late));
 }
 
-// A caller with a valid key names 3,000 budgets that nobody has, each once, within 15 s. Every call
-// is refused and did not run. Looked up and kept one by one, the names would fill the holder's
-// memory and journal and take a read of the platform each.
+// A caller with a valid key names 3,000 non-existent budgets, each once, within 15 s. Every call is
+// refused without running. If each name were looked up and retained, the names would fill the
+// holder's memory and journal and cost one platform read each.
 #[test]
-fn admit_many_unknown_budgets_costs_little() {
+fn admit_many_unknown_budgets_bounds_memory_and_reads() {
     let mut world = world_of(&["d1"], 1_000_000);
     let own = world.call(0, BUDGET, None, 100);
     world.run(1_000);
     assert!(admitted(&world, &own));
     world.serve(&own, 10);
     world.settle(&own);
-    let size_before = desk_size(&mut world, 0);
+    let size_before = manager_size(&mut world, 0);
     let calls_before = world.store.calls;
     let mut largest = 0;
     for number in 0..3_000 {
@@ -110,13 +110,16 @@
         world.call(0, &format!("made-up-{number}"), Some(&key), 100);
         if number % 10 == 9 {
             world.run(50);
-            largest = largest.max(desk_size(&mut world, 0));
+            largest = largest.max(manager_size(&mut world, 0));
             world.log.clear();
         }
         if number % 100 == 99 {
             let own = world.call(0, BUDGET, None, 10);
             world.run(50);
-            assert!(admitted(&world, &own), "the workspace's own budget serves");
+            assert!(
+                admitted(&world, &own),
+                "the workspace's own budget admits calls"
+            );
             world.serve(&own, 10);
             world.settle(&own);
         }
@@ -132,27 +135,33 @@
     let refused = world.reasons().into_iter().flatten().count();
     assert_eq!(refused, 3_000);
     let names = journalled(&world).len();
-    assert!(names <= 1 + 4, "{names} names are in the journal");
+    assert!(names <= 1 + 4, "the journal names {names} budgets");
     let calls = world.store.calls - calls_before;
-    assert!(calls < 400, "{calls} calls of the platform");
+    assert!(
+        calls < 400,
+        "{calls} platform calls for 3,000 unknown names"
+    );
     assert!(
         largest < size_before + 10_000,
-        "grew from {size_before} to {largest}"
+        "accounting state grew from {size_before} to {largest}"
     );
     world.run(70_000);
-    let size_after = desk_size(&mut world, 0);
-    assert!(size_after < size_before + 3_000, "{size_after} are left");
+    let size_after = manager_size(&mut world, 0);
+    assert!(
+        size_after < size_before + 3_000,
+        "accounting state is still {size_after} after pruning"
+    );
 }
 
-// The platform is down while a caller makes up 1,000 names. Every call is refused and can come back;
-// none can be looked up, and what is kept of them stays small all the same.
+// A caller invents 1,000 names during a platform outage. Every call is refused with a reason that
+// permits a retry; no name can be looked up, and the retained state must stay small.
 #[test]
-fn admit_many_unknown_budgets_in_an_outage_keeps_little() {
+fn admit_many_unknown_budgets_in_outage_bounds_memory() {
     let mut world = world_of(&["d1"], 1_000);
     let own = world.call(0, BUDGET, None, 100);
     world.run(1_000);
     assert!(admitted(&world, &own));
-    let size_before = desk_size(&mut world, 0);
+    let size_before = manager_size(&mut world, 0);
     world.is_platform_down = true;
     world.run(3_000);
     for number in 0..1_000 {
@@ -165,15 +174,15 @@
     let reasons = world.reasons().into_iter().flatten();
     let unreachable = reasons.filter(|reason| *reason == RefusalReason::BudgetUnreachable);
     assert_eq!(unreachable.count(), 1_000);
-    let size = desk_size(&mut world, 0);
+    let size = manager_size(&mut world, 0);
     assert!(
         size < size_before + 30_000,
-        "grew from {size_before} to {size}"
+        "accounting state grew from {size_before} to {size}"
     );
 }
 
-// One workspace makes up names while another uses a budget for the first time. The second must not
-// wait for the names of the first.
+// One workspace invents names while another uses a budget for the first time. The second one must
+// not wait for the lookups of the first.
 #[test]
 fn admit_while_another_workspace_makes_up_names() {
     let mut world = world_of(&["d1"], 1_000);
@@ -187,8 +196,8 @@
     assert!(admitted(&world, &own));
 }
 
-// A workspace is not trusted any more after a wrong name: its next budget is looked up before the
-// journal names it. The first call on it is served all the same, within the usual wait.
+// After a workspace named a budget that it does not have, its next budget is looked up before the
+// journal names it. The first call on that budget must be admitted within the usual wait.
 #[test]
 fn admit_after_wrong_name_looks_up_first() {
     let mut world = world_of(&["d1"], 1_000);
--- a/crates/beechsaddle-core/tests/money_lost_answers.rs
+++ b/crates/beechsaddle-core/tests/accounting_lost_answers.rs
@@ -1,17 +1,17 @@
-//! Golden sessions in which the platform carries out a write and its answer is lost.
+//! Golden sessions in which the platform applies a write but its reply is lost.
 //!
-//! `BEECHSADDLE_BLESS=1` writes the golden files anew.
+//! `BEECHSADDLE_BLESS=1` rewrites the golden files.
 
-mod money_world;
+mod accounting_world;
 
-use beechsaddle_core::platform::PlatformCall;
-use money_world::Flight;
-use money_world::session_steps::{
-    BUDGET, admitted, close, die, holder_of, lose_answer, run_call, run_to_write, world_of,
+use accounting_world::Delivery;
+use accounting_world::session_steps::{
+    BUDGET, admitted, drain_all, holder_of, kill, lose_answer, run_call, run_to_write, world_of,
 };
+use beechsaddle_core::platform::PlatformCall;
 
-/// Each kind of write takes effect once at the platform while its answer is lost.
-/// The writer reads back and finds its own write: one grant, one bill, one top-up, and no fence.
+/// Each kind of write takes effect once while its reply is lost. The writer must read back and
+/// recognise its own write: one grant, one bill, one top-up, and no fence.
 #[test]
 fn answer_lost_each_write() {
     let mut world = world_of(&["d1"], 3_000);
@@ -20,19 +20,19 @@
     lose_answer(&mut world, 0);
     world.run(250);
     while !matches!(
-        world.flights.first(),
-        Some(Flight::Call {
+        world.deliveries.first(),
+        Some(Delivery::Call {
             call: PlatformCall::Write { .. },
             ..
         })
     ) {
-        if world.flights.is_empty() {
+        if world.deliveries.is_empty() {
             world.advance(50);
         } else {
             world.deliver(0);
         }
     }
-    // The grant in the ledger, or the mark in the journal, whichever is under way.
+    // The grant in the ledger or the mark in the journal, whichever is in flight.
     lose_answer(&mut world, 0);
     world.run(1_500);
     assert!(admitted(&world, &call));
@@ -43,7 +43,7 @@
     lose_answer(&mut world, 0);
     world.run(1_500);
     world.top_up(BUDGET, "first", 3_000);
-    let account = close(&mut world);
+    let account = drain_all(&mut world);
     assert_eq!(account.paid(), 3_000);
     assert_eq!((account.settled, account.bills), (60, 1));
     assert_eq!(account.written_off, 0);
@@ -55,21 +55,20 @@
         .collect();
     assert!(
         journals.iter().all(|journal| *journal == "r0@1.1"),
-        "no life was lost"
+        "no journal was fenced"
     );
     world.check_golden("answer_lost_each_write");
 }
 
-/// A holder gives part of its grant back, and the answer to that write is lost.
-/// The tokens go to a holder of another domain at once. The first one, which does not know yet
-/// whether its write took effect, must not reserve as if it had not: its caller waits or is
-/// refused, and no token is spent twice.
+/// A holder returns part of its grant and the reply to that write is lost; a holder of another
+/// domain takes the tokens at once. The first holder does not know whether its write took effect
+/// and must not reserve beyond the smaller grant, or tokens would be spent twice.
 #[test]
 fn grant_returned_answer_lost() {
     let mut world = world_of(&["d1", "d2"], 10_000);
     let call = run_call(&mut world, 0, 3_000, 10);
     world.settle(&call);
-    // The first write that gives back a good part of the grant.
+    // The first write that returns a large part of the grant.
     let after = loop {
         let before = world.account(BUDGET).granted();
         run_to_write(&mut world, 0, "ledger/");
@@ -83,28 +82,31 @@
     let rest = world.account(BUDGET).free();
     let taken = world.call(1, BUDGET, None, rest);
     while world.calls[&taken].admitted.is_none() {
-        let index = world.flights.iter().position(|flight| match flight {
-            Flight::Call { router, .. } | Flight::Reply { router, .. } => *router == 1,
-            Flight::Peer { .. } | Flight::Straggler { .. } => false,
+        let index = world.deliveries.iter().position(|delivery| match delivery {
+            Delivery::Call { router, .. } | Delivery::Reply { router, .. } => *router == 1,
+            Delivery::Peer { .. } | Delivery::DelayedCall { .. } => false,
         });
-        world.deliver(index.expect("the other holder goes on"));
+        world.deliver(index.expect("the other holder has a delivery pending"));
     }
-    assert!(admitted(&world, &taken), "the returned tokens are there");
+    assert!(admitted(&world, &taken), "the returned tokens can be spent");
     let more = world.call(0, BUDGET, None, after + 100);
     world.run(2_000);
-    assert!(!admitted(&world, &more), "they are not spent twice");
+    assert!(
+        !admitted(&world, &more),
+        "the returned tokens are not spent twice"
+    );
     for call in [&taken, &more] {
         world.serve(call, 10_000);
         world.settle(call);
     }
-    let account = close(&mut world);
+    let account = drain_all(&mut world);
     assert_eq!(account.settled, world.served());
     world.check_golden("grant_returned_answer_lost");
 }
 
-/// A holder lowers its mark, the answer to that write is lost, and the holder dies.
-/// Whoever fences it counts only the lower mark as spent. So a call that came in between must not
-/// be reserved below the old mark, or its tokens would be spent and given back.
+/// A holder lowers its mark, the reply to that write is lost, and the holder dies. A router that
+/// fences it counts only the lower mark as spent, so a call in between must not be reserved below
+/// the old mark; its tokens would be spent and also returned.
 #[test]
 fn mark_lowered_answer_lost() {
     let mut world = world_of(&["d1", "d1"], 10_000);
@@ -122,10 +124,13 @@
         }
     };
     let late = world.call(holder, BUDGET, None, 2_600);
-    assert!(!admitted(&world, &late), "the mark may be {low} already");
+    assert!(
+        !admitted(&world, &late),
+        "the durable mark may already be {low}"
+    );
     world.serve(&late, 2_600);
-    die(&mut world, holder);
-    let account = close(&mut world);
+    kill(&mut world, holder);
+    let account = drain_all(&mut world);
     assert!(account.settled + account.written_off >= world.served());
     world.check_golden("mark_lowered_answer_lost");
 }
