--- a/crates/beechsaddle-core/tests/money_model.rs
+++ b/crates/beechsaddle-core/tests/accounting_model.rs
@@ -1,12 +1,13 @@
-//! Random interleavings of everything that can happen to money.
+//! Random interleavings of calls, faults and membership changes, checked against the accounting
+//! invariants.
 
-mod money_world;
+mod accounting_world;
 
+use accounting_world::model_step::Step;
+use accounting_world::{AccountingWorld, Delivery, test_options};
+use beechsaddle_core::accounting::AccountingOptions;
 use beechsaddle_core::members::MemberLiveness;
-use beechsaddle_core::money::MoneyOptions;
 use beechsaddle_core::prelude::*;
-use money_world::model_step::Step;
-use money_world::{Flight, MoneyWorld, test_options};
 use quickcheck::{Gen, QuickCheck};
 
 const BUDGETS: [&str; 2] = ["north", "south"];
@@ -16,23 +17,27 @@
     items.get(usize::from(number).checked_rem(items.len())?)
 }
 
-/// The index of a flight among those that `wanted` selects.
-fn pick_flight(world: &MoneyWorld, number: u8, wanted: fn(&Flight) -> bool) -> Option<usize> {
-    let found: Vec<usize> = (0..world.flights.len())
-        .filter(|index| wanted(&world.flights[*index]))
+/// Returns the index of a delivery among those that `wanted` selects.
+fn pick_delivery(
+    world: &AccountingWorld,
+    number: u8,
+    wanted: fn(&Delivery) -> bool,
+) -> Option<usize> {
+    let found: Vec<usize> = (0..world.deliveries.len())
+        .filter(|index| wanted(&world.deliveries[*index]))
         .collect();
     pick(&found, number).copied()
 }
 
-fn is_peer(flight: &Flight) -> bool {
-    matches!(flight, Flight::Peer { .. })
+fn is_peer(delivery: &Delivery) -> bool {
+    matches!(delivery, Delivery::Peer { .. })
 }
 
-fn is_call(flight: &Flight) -> bool {
-    matches!(flight, Flight::Call { .. })
+fn is_call(delivery: &Delivery) -> bool {
+    matches!(delivery, Delivery::Call { .. })
 }
 
-fn take_step(world: &mut MoneyWorld, step: &Step) {
+fn take_step(world: &mut AccountingWorld, step: &Step) {
     let routers = world.slots.len() as u8;
     match *step {
         Step::Call {
@@ -43,9 +48,9 @@
         } => {
             let router = usize::from(router % routers);
             let slot = &world.slots[router];
-            if slot.desk.is_some() && !slot.is_frozen && !slot.is_draining {
+            if slot.manager.is_some() && !slot.is_frozen && !slot.is_draining {
                 let key = KEYS.get(usize::from(key % 8)).copied();
-                // A key always comes with the same budget, as docs/API.md asks of callers.
+                // A key always comes with the same budget, as docs/API.md requires of callers.
                 let budget = key.map_or(budget, |key| key.as_bytes()[1]);
                 let budget = BUDGETS[usize::from(budget % 2)];
                 world.call(router, budget, key, u64::from(bound) + 1);
@@ -63,35 +68,35 @@
                 world.settle(call);
             }
         }
-        Step::Deliver { flight, count } => {
+        Step::Deliver { delivery, count } => {
             for offset in 0..=count {
-                let number = flight.wrapping_add(offset.wrapping_mul(7));
-                if let Some(index) = pick_flight(world, number, |_| true) {
+                let number = delivery.wrapping_add(offset.wrapping_mul(7));
+                if let Some(index) = pick_delivery(world, number, |_| true) {
                     world.deliver(index);
                 }
             }
         }
-        Step::DropMessage { flight } => {
-            if let Some(index) = pick_flight(world, flight, is_peer) {
-                world.flights.remove(index);
+        Step::DropMessage { delivery } => {
+            if let Some(index) = pick_delivery(world, delivery, is_peer) {
+                world.deliveries.remove(index);
             }
         }
-        Step::DoubleMessage { flight } => {
-            if let Some(index) = pick_flight(world, flight, is_peer) {
-                let copy = world.flights[index].clone();
-                world.flights.push(copy);
+        Step::DuplicateMessage { delivery } => {
+            if let Some(index) = pick_delivery(world, delivery, is_peer) {
+                let copy = world.deliveries[index].clone();
+                world.deliveries.push(copy);
             }
         }
-        Step::LoseAnswer { flight } => lose(world, flight, Loss::Answer),
-        Step::LoseCall { flight } => lose(world, flight, Loss::Call),
-        Step::LandLater { flight } => lose(world, flight, Loss::Late),
+        Step::LoseAnswer { delivery } => inject_loss(world, delivery, LossKind::Answer),
+        Step::LoseCall { delivery } => inject_loss(world, delivery, LossKind::Call),
+        Step::DelayCall { delivery } => inject_loss(world, delivery, LossKind::Delayed),
         Step::Advance { ticks } => world.advance(u64::from(ticks) * 50),
         Step::Run { ticks } => world.run(u64::from(ticks) * 50),
         Step::Crash { router } => {
-            let alive = world.slots.iter().filter(|slot| slot.desk.is_some());
+            let alive = world.slots.iter().filter(|slot| slot.manager.is_some());
             if alive.count() > 1 {
                 world.crash(usize::from(router % routers));
-                world.slots[usize::from(router % routers)].is_lost = true;
+                world.slots[usize::from(router % routers)].has_crashed = true;
             }
         }
         Step::Freeze { router } => {
@@ -107,7 +112,7 @@
         Step::Gone { router } => {
             let router = usize::from(router % routers);
             let slot = &world.slots[router];
-            if slot.is_frozen || slot.desk.is_none() {
+            if slot.is_frozen || slot.manager.is_none() {
                 world.set_liveness(router, MemberLiveness::Gone);
             }
         }
@@ -136,47 +141,47 @@
     }
 }
 
-enum Loss {
+enum LossKind {
     Answer,
     Call,
-    Late,
+    Delayed,
 }
 
-fn lose(world: &mut MoneyWorld, number: u8, loss: Loss) {
-    let Some(index) = pick_flight(world, number, is_call) else {
+fn inject_loss(world: &mut AccountingWorld, number: u8, kind: LossKind) {
+    let Some(index) = pick_delivery(world, number, is_call) else {
         return;
     };
-    let Flight::Call {
+    let Delivery::Call {
         router,
         ticket,
         call,
-    } = world.flights.remove(index)
+    } = world.deliveries.remove(index)
     else {
         return;
     };
-    match loss {
-        Loss::Answer => {
+    match kind {
+        LossKind::Answer => {
             world.store.apply(call);
         }
-        Loss::Call => {}
-        Loss::Late => world.flights.push(Flight::Straggler { call }),
+        LossKind::Call => {}
+        LossKind::Delayed => world.deliveries.push(Delivery::DelayedCall { call }),
     }
-    world.flights.push(Flight::Reply {
+    world.deliveries.push(Delivery::Reply {
         router,
         ticket,
         reply: beechsaddle_core::platform::PlatformReply::Unknown,
     });
 }
 
-fn thaw(world: &mut MoneyWorld, router: usize) {
+fn thaw(world: &mut AccountingWorld, router: usize) {
     world.slots[router].is_frozen = false;
-    if world.slots[router].desk.is_some() {
+    if world.slots[router].manager.is_some() {
         world.set_liveness(router, MemberLiveness::Live);
     }
 }
 
-/// What holds after every step, whatever happened.
-fn check_always(world: &MoneyWorld) -> Result<(), String> {
+/// Checks the invariants that hold after every step.
+fn check_invariants(world: &AccountingWorld) -> Result<(), String> {
     for shard in 0..world.options.shard_count {
         if let Some(ledger) = world.store.ledger(shard) {
             ledger
@@ -193,14 +198,14 @@
             .sum();
         let paid = world.account(budget).paid();
         if served > paid {
-            return Err(format!("{budget}: served {served} of {paid}"));
+            return Err(format!("{budget}: served {served} tokens, paid {paid}"));
         }
     }
     Ok(())
 }
 
-/// Ends every fault, every call and every router in turn.
-fn heal(world: &mut MoneyWorld) -> Result<(), String> {
+/// Ends every fault and call and drains every router in turn.
+fn heal(world: &mut AccountingWorld) -> Result<(), String> {
     world.is_platform_down = false;
     for router in 0..world.slots.len() {
         thaw(world, router);
@@ -208,9 +213,9 @@
     world.start("last1", 1, "d1");
     world.start("last2", 1, "d2");
     world.run(2_000);
-    check_always(world)?;
+    check_invariants(world)?;
     for router in 0..world.slots.len() {
-        if world.slots[router].desk.is_none() {
+        if world.slots[router].manager.is_none() {
             world.set_liveness(router, MemberLiveness::Gone);
         }
     }
@@ -220,13 +225,17 @@
         world.settle(call);
     }
     world.run(20_000);
-    check_always(world)?;
-    // The last two take over the bills of the others and are drained at the end.
+    check_invariants(world)?;
+    // The last two routers take over the bills of the others and are drained last.
     for router in 0..world.slots.len() {
         world.drain(router);
         world.run(10_000);
         let slot = &world.slots[router];
-        if slot.desk.as_ref().is_some_and(|desk| !desk.is_drained()) {
+        if slot
+            .manager
+            .as_ref()
+            .is_some_and(|manager| !manager.is_drained())
+        {
             return Err(format!("{} is not drained", slot.router));
         }
         world.crash(router);
@@ -235,12 +244,12 @@
     Ok(())
 }
 
-fn check_healed(world: &MoneyWorld) -> Result<(), String> {
-    check_always(world)?;
+fn check_healed(world: &AccountingWorld) -> Result<(), String> {
+    check_invariants(world)?;
     for budget in BUDGETS {
         let account = world.account(budget);
-        // A router that dies between a checkpoint and the removal of a returned grant leaves an
-        // entry of nothing.
+        // A router that dies between a checkpoint and the removal of a returned grant leaves a
+        // grant of 0 tokens.
         if account.granted() > 0 {
             return Err(format!("{budget}: open grants {:?}", account.grants));
         }
@@ -253,7 +262,7 @@
         let sum: u64 = billed.iter().sum();
         if sum != account.settled || billed.len() as u64 != account.bills {
             return Err(format!(
-                "{budget}: {} bills over {sum}, but the ledger has {} over {}",
+                "{budget}: journals hold {} bills of {sum} tokens, the ledger {} of {}",
                 billed.len(),
                 account.bills,
                 account.settled
@@ -275,15 +284,15 @@
     check_calls(world)
 }
 
-/// A call whose entry router never died is released and billed as it was settled, or its key's
-/// larger run is.
-fn check_calls(world: &MoneyWorld) -> Result<(), String> {
+/// Checks that a call whose entry router never died is released and billed as settled, or that the
+/// larger run of its key is.
+fn check_calls(world: &AccountingWorld) -> Result<(), String> {
     let billed = world.billed_keys();
     for (call, record) in &world.calls {
         let Some(tokens) = record.settled else {
             continue;
         };
-        if world.slots[record.entry].is_lost {
+        if world.slots[record.entry].has_crashed {
             continue;
         }
         if !record.is_released {
@@ -291,21 +300,22 @@
         }
         let sum = billed.get(&record.key);
         if sum.is_none_or(|sum| *sum < tokens) {
-            return Err(format!("{call} used {tokens}, billed {sum:?}"));
+            return Err(format!("{call} used {tokens} tokens, billed {sum:?}"));
         }
     }
     Ok(())
 }
 
-fn budget_of(world: &MoneyWorld, key: &RequestKey) -> String {
+fn budget_of(world: &AccountingWorld, key: &RequestKey) -> String {
     let mut records = world.calls.values();
     let record = records.find(|record| record.key == *key);
     record.map_or_else(String::new, |record| record.budget.to_string())
 }
 
-/// Short periods, so that a session of some seconds sees checkpoints, folds and returned grants.
-fn model_options() -> MoneyOptions {
-    MoneyOptions {
+/// Returns options with short periods, so that a session of some seconds covers checkpoints, folds
+/// and returned grants.
+fn model_options() -> AccountingOptions {
+    AccountingOptions {
         journal_period_ms: 200,
         fold_period_ms: 400,
         checkpoint_every: 4,
@@ -315,18 +325,18 @@
 }
 
 fn run_session(steps: &[Step]) -> Result<(), String> {
-    let mut world = MoneyWorld::new(model_options(), &["d1", "d1", "d1", "d2", "d2"]);
+    let mut world = AccountingWorld::new(model_options(), &["d1", "d1", "d1", "d2", "d2"]);
     world.top_up("north", "first", 6_000);
     world.top_up("south", "first", 700);
     for (number, step) in steps.iter().enumerate() {
         take_step(&mut world, step);
-        check_always(&world).map_err(|error| format!("step {number}: {error}"))?;
+        check_invariants(&world).map_err(|error| format!("step {number}: {error}"))?;
     }
     heal(&mut world)?;
     check_healed(&world)
 }
 
-/// Runs one seed and shrinks the session when it fails.
+/// Runs one seed and shrinks the session if it fails.
 fn check_seed(seed: u64) {
     fn session_holds(steps: Vec<Step>) -> Result<(), String> {
         run_session(&steps)
@@ -345,11 +355,11 @@
     }
 }
 
-/// A caller sees its budget spent and its bills; routers die, freeze, are fenced and come back, and
-/// the store loses answers, in any order. Whatever the order, no more is served than was paid for,
-/// each key is billed once, and the ledger's sum is that of the journals' bills.
+/// Routers die, freeze, are fenced and resume, and the store loses replies, in any order. In every
+/// order no more is served than was paid for, each key is billed once, and the ledger's total
+/// equals that of the journals' bills.
 #[test]
-fn money_random_interleavings() {
+fn accounting_random_interleavings() {
     if let Ok(seed) = std::env::var("BEECHSADDLE_SEED") {
         return check_seed(seed.parse().expect("a seed is a number"));
     }
--- a/crates/beechsaddle-core/tests/money_sessions.rs
+++ b/crates/beechsaddle-core/tests/accounting_sessions.rs
@@ -1,18 +1,19 @@
-//! Golden sessions of money under failure: what happens, what the desks do, and what comes of it.
+//! Golden sessions of accounting under failures: events, actions of the managers, and the resulting
+//! ledger.
 //!
-//! `BEECHSADDLE_BLESS=1` writes the golden files anew.
+//! `BEECHSADDLE_BLESS=1` rewrites the golden files.
 
-mod money_world;
+mod accounting_world;
 
+use accounting_world::session_steps::{
+    BUDGET, admitted, drain_all, holder_of, kill, other_than, refusal, run_call, world_of,
+};
 use beechsaddle_core::members::MemberLiveness;
 use beechsaddle_core::prelude::*;
-use money_world::session_steps::{
-    BUDGET, admitted, close, die, holder_of, other_than, refusal, run_call, world_of,
-};
 
-/// Callers at all five routers of two domains use one budget until each is refused.
-/// Every refusal says that the budget is exhausted and when to come back. What was served is billed
-/// to the token, since nothing failed, and nothing is left granted.
+/// Callers at all five routers of two domains use one budget until each is refused. Every refusal
+/// must name exhaustion and a retry delay. Without failures everything served is billed exactly and
+/// no grant remains.
 #[test]
 fn exhaustion_all_routers() {
     let mut world = world_of(&["d1", "d1", "d1", "d2", "d2"], 600);
@@ -29,18 +30,18 @@
             .iter()
             .all(|reason| *reason == RefusalReason::BudgetExhausted)
     );
-    let account = close(&mut world);
+    let account = drain_all(&mut world);
     assert_eq!(account.settled, world.served());
     assert_eq!(account.written_off, 0);
-    // Each of the two holders refuses only what is more than it can reach.
+    // Each of the two holders refuses only requests that exceed what it can reach.
     assert!(account.free() < 2 * 60, "left {} of 600", account.free());
     world.check_golden("exhaustion_all_routers");
 }
 
-/// The caller's stream breaks off when its entry router dies; it retries with the same key.
-/// While the old entry router may live, the retry is told that the key is running. Once it is gone,
-/// its run is billed provisionally and the retry runs. There is one bill, of the larger run; the
-/// smaller run's tokens were generated too and are written off.
+/// An entry router dies during a call and the caller retries with the same key. While the old entry
+/// router may be alive, the retry is refused because the key is running. Once it is gone, its run
+/// is billed provisionally and the retry runs. Only the larger run is billed; the tokens of the
+/// smaller one were generated too and are written off.
 #[test]
 fn entry_killed_caller_retries() {
     let mut world = world_of(&["d1", "d1", "d1"], 2_000);
@@ -63,7 +64,7 @@
     assert!(admitted(&world, &retry));
     world.serve(&retry, 70);
     world.settle(&retry);
-    let account = close(&mut world);
+    let account = drain_all(&mut world);
     assert_eq!((account.settled, account.bills), (70, 1));
     assert!(account.written_off >= 40, "both runs were consumed");
     assert!(
@@ -73,9 +74,9 @@
     world.check_golden("entry_killed_caller_retries");
 }
 
-/// The holder dies while two calls run that it reserved for; their callers notice nothing.
-/// The entry routers hand the calls to the successor, which fences the dead holder's journal and
-/// takes both bills against the write-off. What was above the mark is free again.
+/// The holder dies while two calls run that it reserved for. Their entry routers hand them to the
+/// successor, which fences the dead holder's journal and takes both bills against the write-off.
+/// Tokens above the mark become free.
 #[test]
 fn holder_killed_entries_hand_over() {
     let mut world = world_of(&["d1", "d1", "d1"], 10_000);
@@ -85,13 +86,13 @@
         .iter()
         .map(|entry| run_call(&mut world, *entry, 100, 50))
         .collect();
-    let grants = world.with_desk(holder, |desk, _, _, _| desk.grants());
+    let grants = world.with_manager(holder, |manager, _, _, _| manager.grants());
     let grant = grants.expect("the holder runs").remove(0);
     assert!(
         grant.granted > grant.mark,
         "some of the grant is above the mark"
     );
-    die(&mut world, holder);
+    kill(&mut world, holder);
     world.run(2_000);
     let fenced = world.account(BUDGET);
     assert_eq!(fenced.written_off, grant.mark - grant.spent);
@@ -100,19 +101,18 @@
         world.run(1_500);
         assert!(
             world.calls[call].is_released,
-            "the caller gets its last part"
+            "the last part of the response is released"
         );
     }
-    let account = close(&mut world);
+    let account = drain_all(&mut world);
     assert_eq!((account.settled, account.bills), (100, 2));
     assert_eq!(account.written_off, grant.mark - grant.spent - 100);
     world.check_golden("holder_killed_entries_hand_over");
 }
 
-/// The holder is paused by its host, taken for gone and fenced; then it resumes.
-/// It spends nothing more in the closed journal: a new call gets a grant in a new one. Its late
-/// bills are taken against the write-off, and as all its calls end the rest comes back: no bill
-/// and no token is lost.
+/// The holder is suspended by its host, taken for gone, fenced, and resumes. It must spend nothing
+/// more in the closed journal: a new call gets a grant in a new journal. Its late bills are taken
+/// against the write-off, and the remainder is released once all its calls have ended.
 #[test]
 fn holder_frozen_fenced_resumed() {
     let mut world = world_of(&["d1", "d1"], 3_000);
@@ -126,7 +126,7 @@
     assert!(fenced.written_off >= 200, "the reservation is written off");
     assert!(
         fenced.grants.keys().all(|name| name.as_str() != journal),
-        "it has no grant"
+        "the fenced journal has no grant"
     );
     world.slots[holder].is_frozen = false;
     world.set_liveness(holder, MemberLiveness::Live);
@@ -134,15 +134,15 @@
     assert!(admitted(&world, &next));
     world.settle(&call);
     world.settle(&next);
-    let account = close(&mut world);
+    let account = drain_all(&mut world);
     assert_eq!((account.settled, account.bills), (200, 2));
-    assert_eq!(account.written_off, 0, "all of the write-off came back");
+    assert_eq!(account.written_off, 0, "the whole write-off is released");
     world.check_golden("holder_frozen_fenced_resumed");
 }
 
-/// The platform is down for an hour while callers go on.
-/// They are served up to the durable mark, then refused at once with a time to come back. When the
-/// platform is back, every bill of the hour is folded and callers are served again.
+/// Calls continue during a platform outage of one hour. They are admitted up to the durable mark,
+/// then refused at once with a retry delay. After the outage every bill is folded and calls are
+/// admitted again.
 #[test]
 fn platform_down_for_an_hour() {
     let mut world = world_of(&["d1"], 100_000);
@@ -171,22 +171,22 @@
         world.advance(60_000);
         world.settle_network();
     }
-    assert!(served > 0, "the mark covers the first calls of the outage");
-    assert!(refused > 0, "the mark ends before the outage does");
+    assert!(served > 0, "the mark admits the first calls of the outage");
+    assert!(refused > 0, "the mark is reached before the outage ends");
     world.is_platform_down = false;
     world.run(2_000);
     let call = run_call(&mut world, 0, 100, 90);
     assert!(admitted(&world, &call));
     world.settle(&call);
-    let account = close(&mut world);
+    let account = drain_all(&mut world);
     assert_eq!(account.settled, world.served());
     assert_eq!(account.written_off, 0);
     world.check_golden("platform_down_for_an_hour");
 }
 
-/// One domain is cut off from the other and from the platform; then the budget is topped up.
-/// The side that reaches the platform spends the top-up, the other one only what its mark covered
-/// before. After healing the ledger is exact and the other side can spend the top-up too.
+/// One domain is cut off from the other and from the platform, then the budget is topped up. The
+/// connected side spends the top-up, the other one only what its mark covered. After healing the
+/// ledger is exact and the other side can spend the top-up too.
 #[test]
 fn domains_cut_top_up_on_one_side() {
     let mut world = world_of(&["d1", "d2"], 1_000);
@@ -207,26 +207,26 @@
     }
     assert!(
         sides[0] > 1_000,
-        "the top-up is spent on its side: {sides:?}"
+        "the connected side spends the top-up: {sides:?}"
     );
     assert!(
         sides[1] < 1_000,
-        "the cut side stays within its mark: {sides:?}"
+        "the disconnected side stays within its mark: {sides:?}"
     );
     world.cut_domains.clear();
     world.run(5_000);
     let call = run_call(&mut world, 1, 100, 100);
     assert!(admitted(&world, &call), "the top-up reaches the other side");
     world.settle(&call);
-    let account = close(&mut world);
+    let account = drain_all(&mut world);
     assert_eq!(account.settled, world.served());
     assert_eq!(account.written_off, 0);
     world.check_golden("domains_cut_top_up_on_one_side");
 }
 
-/// The platform is down, and the holder dies in the outage.
-/// The entry router's call goes on and is settled; nobody can fence until the platform is back.
-/// Then the journal is closed, and the bill that waited is taken against the write-off.
+/// The holder dies during a platform outage. The entry router's call goes on and is settled, but no
+/// router can fence until the outage ends. Then the journal is closed and the waiting bill is taken
+/// against the write-off.
 #[test]
 fn outage_and_holder_death() {
     let mut world = world_of(&["d1", "d1", "d1"], 5_000);
@@ -235,12 +235,12 @@
     let call = run_call(&mut world, entry, 100, 70);
     world.is_platform_down = true;
     world.run(500);
-    die(&mut world, holder);
+    kill(&mut world, holder);
     world.settle(&call);
     world.run(2_000);
     assert!(
         world.calls[&call].is_released,
-        "the caller is not kept waiting"
+        "the last part is released despite the outage"
     );
     let late = world.call(entry, BUDGET, None, 100);
     world.run(1_500);
@@ -249,15 +249,15 @@
         RefusalReason::BudgetUnreachable
     );
     world.is_platform_down = false;
-    let account = close(&mut world);
+    let account = drain_all(&mut world);
     assert_eq!((account.settled, account.bills), (70, 1));
     world.check_golden("outage_and_holder_death");
 }
 
-/// A domain is cut off, and the holder in it is frozen; its domain calls it gone, but cannot reach
-/// the platform to fence it. The other domain goes on. After healing, the holder resumes while it is
-/// being fenced. It spends no further than its last mark, finds the fence when it next writes its
-/// journal, and what it reserved before is billed late.
+/// A domain is cut off and its holder suspended; the other members report it as gone but cannot
+/// reach the platform to fence it. After healing, the holder resumes while it is being fenced. It
+/// must spend no further than its last mark and find the fence at its next journal write; its
+/// earlier reservation is billed late.
 #[test]
 fn cut_and_freeze() {
     let mut world = world_of(&["d1", "d2", "d2"], 4_000);
@@ -268,30 +268,33 @@
     world.slots[holder].is_frozen = true;
     world.set_liveness(holder, MemberLiveness::Gone);
     world.settle(&call);
-    let mine = run_call(&mut world, 0, 100, 50);
-    world.settle(&mine);
+    let own_call = run_call(&mut world, 0, 100, 50);
+    world.settle(&own_call);
     world.run(2_000);
     assert!(
         world.account(BUDGET).closed.is_empty(),
-        "nobody could fence"
+        "no router could fence the journal"
     );
     world.cut_domains.clear();
     world.run(1_000);
     world.slots[holder].is_frozen = false;
     world.set_liveness(holder, MemberLiveness::Live);
-    let account = close(&mut world);
+    let account = drain_all(&mut world);
     assert_eq!((account.settled, account.bills), (110, 2));
-    let finds = world
+    let fences = world
         .log
         .iter()
         .filter(|line| line.contains("own_journal_fenced"));
-    assert_eq!(finds.count(), 1, "the resumed holder finds its fence");
+    assert_eq!(
+        fences.count(),
+        1,
+        "the resumed holder detects its fence once"
+    );
     world.check_golden("cut_and_freeze");
 }
 
-/// Entry router and holder die together in the middle of a call.
-/// Nobody knows the usage. The holder's mark covers it and is written off; the caller's retry with
-/// the same key is billed once.
+/// Entry router and holder die together during a call, so its usage is lost. The holder's mark
+/// covers it and is written off; the caller's retry with the same key is billed once.
 #[test]
 fn entry_and_holder_die() {
     let mut world = world_of(&["d1", "d1", "d1"], 4_000);
@@ -300,8 +303,8 @@
     let call = world.call(entry, BUDGET, Some("listing"), 100);
     world.run(1_000);
     world.serve(&call, 55);
-    die(&mut world, entry);
-    die(&mut world, holder);
+    kill(&mut world, entry);
+    kill(&mut world, holder);
     world.run(3_000);
     let last = (0..3).find(|index| *index != holder && *index != entry);
     let last = last.expect("there are three routers");
@@ -309,23 +312,26 @@
     world.run(1_500);
     world.serve(&retry, 90);
     world.settle(&retry);
-    let account = close(&mut world);
+    let account = drain_all(&mut world);
     assert_eq!((account.settled, account.bills), (90, 1));
-    assert!(account.written_off >= 55, "what was generated is covered");
+    assert!(
+        account.written_off >= 55,
+        "the write-off covers the generated tokens"
+    );
     world.check_golden("entry_and_holder_die");
 }
 
-/// Every router of a domain dies at once; new processes start on the same hosts.
-/// Nobody saw the old ones leave. The first reader of the ledger finds the grant of a process that
-/// its host has replaced, fences it, and callers can spend what was not marked.
+/// All routers of a domain die at once and new processes start on the same hosts, so no member
+/// reports the old ones as gone. The first reader of the ledger must fence the grant of a process
+/// that a later one on its host has replaced, and callers can spend what was not marked.
 #[test]
 fn domain_restarted_grant_returns() {
     let mut world = world_of(&["d1"], 3_000);
     let call = run_call(&mut world, 0, 1_000, 400);
     assert!(admitted(&world, &call));
     world.crash(0);
-    let reborn = world.start("r0", 2, "d1");
-    let next = run_call(&mut world, reborn, 500, 300);
+    let restarted = world.start("r0", 2, "d1");
+    let next = run_call(&mut world, restarted, 500, 300);
     assert!(admitted(&world, &next));
     world.settle(&next);
     world.run(3_000);
@@ -335,7 +341,7 @@
         account.written_off >= 1_000,
         "the reservation is written off"
     );
-    let account = close(&mut world);
+    let account = drain_all(&mut world);
     assert_eq!((account.settled, account.bills), (300, 1));
     assert!(account.settled + account.written_off >= world.served());
     world.check_golden("domain_restarted_grant_returns");
--- a/crates/beechsaddle-core/tests/money_world/fake_store.rs
+++ b/crates/beechsaddle-core/tests/accounting_world/fake_store.rs
@@ -1,8 +1,8 @@
-//! The `fake_store` module provides an object store whose every call is carried out by the test.
+//! The `fake_store` module provides an in-memory object store in which the test applies every call.
 
 use std::collections::BTreeMap;
 
-use beechsaddle_core::money::{BudgetLedger, JournalSegment};
+use beechsaddle_core::accounting::{BudgetLedger, JournalSegment};
 use beechsaddle_core::objects::PlatformObject;
 use beechsaddle_core::platform::{PlatformCall, PlatformReply, StoredObject, WriteGuard};
 use beechsaddle_core::prelude::*;
@@ -11,7 +11,7 @@
 pub struct FakeStore {
     pub objects: BTreeMap<ObjectKey, (u64, PlatformObject)>,
     pub revision: u64,
-    /// Every journal segment that was ever written, also deleted ones.
+    /// Every journal segment that was ever written, including deleted ones.
     pub segments: BTreeMap<ObjectKey, JournalSegment>,
     pub calls: u64,
 }
--- a/crates/beechsaddle-core/tests/money_world/mod.rs
+++ b/crates/beechsaddle-core/tests/accounting_world/mod.rs
@@ -1,4 +1,5 @@
-//! Some money desks, a store and a network, every step of which the test decides.
+//! The `accounting_world` module provides accounting managers, a store and a network in which the
+//! test controls every step.
 
 #![allow(dead_code)]
 
@@ -10,49 +11,51 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use beechsaddle_core::accounting::{
+    AccountingManager, AccountingOptions, BudgetAccount, BudgetLedger,
+};
 use beechsaddle_core::members::MemberTable;
-use beechsaddle_core::money::{BudgetAccount, BudgetLedger, MoneyDesk, MoneyOptions};
 use beechsaddle_core::peer::AdmitRequest;
 use beechsaddle_core::prelude::*;
 
 pub use fake_store::FakeStore;
-pub use world_types::{CallRecord, Flight, RouterSlot, member};
+pub use world_types::{CallRecord, Delivery, RouterSlot, member};
 
-pub struct MoneyWorld {
+pub struct AccountingWorld {
     pub now: ClockTime,
     pub store: FakeStore,
     pub slots: Vec<RouterSlot>,
-    pub flights: Vec<Flight>,
+    pub deliveries: Vec<Delivery>,
     pub calls: BTreeMap<CallId, CallRecord>,
-    pub options: MoneyOptions,
+    pub options: AccountingOptions,
     pub actions: Vec<(usize, CoreAction)>,
     pub is_platform_down: bool,
     pub cut_domains: BTreeSet<DomainName>,
     pub top_ups: u64,
-    /// The workspace whose callers call.
+    /// The workspace of subsequent calls.
     pub workspace: WorkspaceName,
-    /// What happened and what the desks did about it, one JSON value a line.
+    /// Events and the resulting actions, one JSON value per line.
     pub log: Vec<String>,
 }
 
 pub const WORKSPACE: &str = "tenant";
 
-pub fn test_options() -> MoneyOptions {
-    MoneyOptions {
+pub fn test_options() -> AccountingOptions {
+    AccountingOptions {
         shard_count: 2,
         min_grant: 200,
-        ..MoneyOptions::default()
+        ..AccountingOptions::default()
     }
 }
 
-impl MoneyWorld {
-    /// Routers in one domain each listed; all know their own domain's routers.
-    pub fn new(options: MoneyOptions, domains: &[&str]) -> Self {
-        let mut world = MoneyWorld {
+impl AccountingWorld {
+    /// Starts one router per entry of `domains`; each knows the routers of its own domain.
+    pub fn new(options: AccountingOptions, domains: &[&str]) -> Self {
+        let mut world = AccountingWorld {
             now: ClockTime::from_millis(1_000_000),
             store: FakeStore::default(),
             slots: Vec::new(),
-            flights: Vec::new(),
+            deliveries: Vec::new(),
             calls: BTreeMap::new(),
             options,
             actions: Vec::new(),
@@ -68,13 +71,13 @@
         world
     }
 
-    /// Starts a router process; the other routers of its domain hear of it.
+    /// Starts a router process and adds it to the members of its domain.
     pub fn start(&mut self, host: &str, epoch: u64, domain: &str) -> usize {
         let router = RouterIncarnation::new(host, epoch);
         let domain = DomainName::new(domain);
         let mut members = MemberTable::new(router.clone(), domain.clone());
         for slot in self.slots.iter_mut().filter(|slot| slot.domain == domain) {
-            if slot.desk.is_none() {
+            if slot.manager.is_none() {
                 continue;
             }
             members.insert(slot.router.clone(), member(&slot.router, &domain));
@@ -82,13 +85,13 @@
                 .insert(router.clone(), member(&router, &domain));
         }
         self.slots.push(RouterSlot {
-            desk: Some(MoneyDesk::new(self.options.clone(), router.clone())),
+            manager: Some(AccountingManager::new(self.options.clone(), router.clone())),
             router,
             members,
             domain,
             is_frozen: false,
             is_gone: false,
-            is_lost: false,
+            has_crashed: false,
             is_draining: false,
             calls: 0,
         });
@@ -124,36 +127,37 @@
         ledger.budgets[&budget].clone()
     }
 
-    /// Runs a step of one desk and files its actions. `None` when it cannot run now.
-    pub fn with_desk<T>(
+    /// Runs a step of one manager and dispatches its actions. Returns `None` if the router is
+    /// stopped or frozen.
+    pub fn with_manager<T>(
         &mut self,
         index: usize,
-        step: impl FnOnce(&mut MoneyDesk, ClockTime, &MemberTable, &mut CoreOutbox) -> T,
+        step: impl FnOnce(&mut AccountingManager, ClockTime, &MemberTable, &mut CoreOutbox) -> T,
     ) -> Option<T> {
         let slot = &mut self.slots[index];
         if slot.is_frozen {
             return None;
         }
-        let desk = slot.desk.as_mut()?;
+        let manager = slot.manager.as_mut()?;
         let mut outbox = CoreOutbox::new();
-        let value = step(desk, self.now, &slot.members, &mut outbox);
-        self.file(index, outbox);
+        let value = step(manager, self.now, &slot.members, &mut outbox);
+        self.dispatch(index, outbox);
         Some(value)
     }
 
-    fn file(&mut self, index: usize, outbox: CoreOutbox) {
+    fn dispatch(&mut self, index: usize, outbox: CoreOutbox) {
         let router = self.slots[index].router.to_string();
         for action in outbox.actions {
-            self.note("does", &router, &action);
+            self.record_event("does", &router, &action);
             match action.clone() {
-                CoreAction::Platform { ticket, call } => self.flights.push(Flight::Call {
+                CoreAction::Platform { ticket, call } => self.deliveries.push(Delivery::Call {
                     router: index,
                     ticket,
                     call,
                 }),
                 CoreAction::Peer { to, message, .. } => {
                     if let Some(to) = self.slots.iter().position(|slot| slot.router == to) {
-                        self.flights.push(Flight::Peer {
+                        self.deliveries.push(Delivery::Peer {
                             from: index,
                             to,
                             message,
@@ -165,7 +169,7 @@
             self.actions.push((index, action));
         }
         for signal in outbox.signals {
-            self.note("tells", &router, &signal);
+            self.record_event("tells", &router, &signal);
             match signal {
                 CoreSignal::AdmitDone { call, outcome } => {
                     let record = self.calls.get_mut(&call).expect("the call was made");
@@ -182,15 +186,15 @@
         }
     }
 
-    fn note(&mut self, verb: &str, router: &str, value: &impl serde::Serialize) {
-        let value = serde_json::to_value(value).expect("what desks do can be written down");
+    fn record_event(&mut self, verb: &str, router: &str, value: &impl serde::Serialize) {
+        let value = serde_json::to_value(value).expect("logged values can be serialized");
         let line = serde_json::json!({
             "at": self.now, "router": router, verb: value,
         });
         self.log.push(line.to_string());
     }
 
-    /// Compares what happened with the golden file, or writes that when `BEECHSADDLE_BLESS` is set.
+    /// Compares the log with the golden file, or writes that file if `BEECHSADDLE_BLESS` is set.
     pub fn check_golden(&self, name: &str) {
         let path = format!("{}/tests/golden/{name}.jsonl", env!("CARGO_MANIFEST_DIR"));
         let text = self.log.join("\n") + "\n";
@@ -205,7 +209,7 @@
         assert_eq!(text.lines().count(), golden.lines().count(), "{name}.jsonl");
     }
 
-    /// A caller sends a request with its own key, or without one.
+    /// Sends a caller's request with its own key, or without one.
     pub fn call(&mut self, entry: usize, budget: &str, key: Option<&str>, bound: u64) -> CallId {
         let slot = &mut self.slots[entry];
         slot.calls += 1;
@@ -241,24 +245,24 @@
         };
         self.calls.insert(call.clone(), record);
         let router = self.slots[entry].router.to_string();
-        self.note("call", &router, &request);
-        self.with_desk(entry, |desk, now, members, outbox| {
-            desk.admit(now, request, members, outbox);
+        self.record_event("call", &router, &request);
+        self.with_manager(entry, |manager, now, members, outbox| {
+            manager.admit(now, request, members, outbox);
         });
         call
     }
 
-    /// The engine generates tokens of an admitted call, at most its bound.
+    /// Adds tokens generated for an admitted call, up to its bound.
     pub fn serve(&mut self, call: &CallId, tokens: u64) {
         let record = self.calls.get_mut(call).expect("the call was made");
         if matches!(record.admitted, Some(Ok(()))) && record.settled.is_none() {
             record.served = (record.served + tokens).min(record.bound);
-            let (entry, served) = (record.entry, record.served);
-            self.with_desk(entry, |desk, now, _, _| desk.progress(now, call, served));
+            let (entry, sum) = (record.entry, record.served);
+            self.with_manager(entry, |manager, now, _, _| manager.progress(now, call, sum));
         }
     }
 
-    /// The call ends at its entry router with all that the engine generated.
+    /// Ends the call at its entry router with all generated tokens.
     pub fn settle(&mut self, call: &CallId) {
         let record = self.calls.get(call).expect("the call was made");
         let (entry, served) = (record.entry, record.served);
@@ -266,9 +270,9 @@
             return;
         }
         let router = self.slots[entry].router.to_string();
-        self.note("settle", &router, &(call.to_string(), served));
-        let done = self.with_desk(entry, |desk, now, members, outbox| {
-            desk.settle(now, call, served, true, true, members, outbox);
+        self.record_event("settle", &router, &(call.to_string(), served));
+        let done = self.with_manager(entry, |manager, now, members, outbox| {
+            manager.settle(now, call, served, true, true, members, outbox);
         });
         if done.is_some() {
             let record = self.calls.get_mut(call).expect("the call was made");
@@ -279,8 +283,8 @@
     pub fn advance(&mut self, span_ms: u64) {
         self.now = self.now.plus_ms(span_ms);
         for index in 0..self.slots.len() {
-            self.with_desk(index, |desk, now, members, outbox| {
-                desk.tick(now, members, outbox);
+            self.with_manager(index, |manager, now, members, outbox| {
+                manager.tick(now, members, outbox);
             });
         }
     }
@@ -289,7 +293,7 @@
         self.calls.values().map(|record| record.served).sum()
     }
 
-    /// The bills that the journals hold: the largest for each call, then for each key.
+    /// Returns the largest bill per key in all journals.
     pub fn billed_keys(&self) -> BTreeMap<RequestKey, u64> {
         let mut keys: BTreeMap<RequestKey, u64> = BTreeMap::new();
         for segment in self.store.segments.values() {
--- a/crates/beechsaddle-core/tests/money_world/model_step.rs
+++ b/crates/beechsaddle-core/tests/accounting_world/model_step.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{Arbitrary, Gen};
 
-/// One step; numbers are taken modulo what there is.
+/// One step; indexes are taken modulo the number of existing items.
 #[derive(Clone, Debug)]
 pub enum Step {
     Call {
@@ -19,23 +19,23 @@
         call: u8,
     },
     Deliver {
-        flight: u8,
+        delivery: u8,
         count: u8,
     },
     DropMessage {
-        flight: u8,
+        delivery: u8,
     },
-    DoubleMessage {
-        flight: u8,
+    DuplicateMessage {
+        delivery: u8,
     },
     LoseAnswer {
-        flight: u8,
+        delivery: u8,
     },
     LoseCall {
-        flight: u8,
+        delivery: u8,
     },
-    LandLater {
-        flight: u8,
+    DelayCall {
+        delivery: u8,
     },
     Advance {
         ticks: u8,
@@ -85,14 +85,14 @@
             12..=17 => Step::Serve { call: a, tokens: b },
             18..=23 => Step::Settle { call: a },
             24..=37 => Step::Deliver {
-                flight: a,
+                delivery: a,
                 count: b % 16,
             },
-            38 => Step::DropMessage { flight: a },
-            39 => Step::DoubleMessage { flight: a },
-            40 | 41 => Step::LoseAnswer { flight: a },
-            42 => Step::LoseCall { flight: a },
-            43 => Step::LandLater { flight: a },
+            38 => Step::DropMessage { delivery: a },
+            39 => Step::DuplicateMessage { delivery: a },
+            40 | 41 => Step::LoseAnswer { delivery: a },
+            42 => Step::LoseCall { delivery: a },
+            43 => Step::DelayCall { delivery: a },
             44..=47 => Step::Advance { ticks: a % 30 },
             48..=53 => Step::Run { ticks: a % 40 },
             54 => Step::Crash { router: a },
--- a/crates/beechsaddle-core/tests/money_world/world_network.rs
+++ b/crates/beechsaddle-core/tests/accounting_world/world_network.rs
@@ -5,61 +5,61 @@
 use beechsaddle_core::platform::PlatformReply;
 use beechsaddle_core::prelude::*;
 
-use super::{Flight, MoneyWorld, member};
+use super::{AccountingWorld, Delivery, member};
 
-impl MoneyWorld {
+impl AccountingWorld {
     fn is_cut(&self, left: usize, right: usize) -> bool {
         let left = &self.slots[left].domain;
         let right = &self.slots[right].domain;
         left != right && (self.cut_domains.contains(left) || self.cut_domains.contains(right))
     }
 
-    fn is_away(&self, router: usize) -> bool {
+    fn is_platform_unreachable(&self, router: usize) -> bool {
         self.is_platform_down || self.cut_domains.contains(&self.slots[router].domain)
     }
 
-    /// Lets one flight arrive. What is meant for a frozen router stays on its way.
+    /// Completes one delivery. Deliveries to a frozen router stay pending.
     pub fn deliver(&mut self, index: usize) {
-        let flight = self.flights.remove(index);
-        match flight {
-            Flight::Peer { from, to, message } => {
+        let delivery = self.deliveries.remove(index);
+        match delivery {
+            Delivery::Peer { from, to, message } => {
                 if self.is_cut(from, to) {
                     return;
                 }
                 if self.slots[to].is_frozen {
-                    self.flights.push(Flight::Peer { from, to, message });
+                    self.deliveries.push(Delivery::Peer { from, to, message });
                     return;
                 }
                 let sender = self.slots[from].router.clone();
                 let receiver = self.slots[to].router.to_string();
-                self.note("hears", &receiver, &(sender.to_string(), &message));
-                self.with_desk(to, |desk, now, members, outbox| {
-                    desk.on_peer(now, &sender, message, members, outbox);
+                self.record_event("hears", &receiver, &(sender.to_string(), &message));
+                self.with_manager(to, |manager, now, members, outbox| {
+                    manager.on_peer(now, &sender, message, members, outbox);
                 });
             }
-            Flight::Call {
+            Delivery::Call {
                 router,
                 ticket,
                 call,
             } => {
-                let reply = if self.is_away(router) {
+                let reply = if self.is_platform_unreachable(router) {
                     PlatformReply::Unreachable
                 } else {
                     self.store.apply(call)
                 };
-                self.flights.push(Flight::Reply {
+                self.deliveries.push(Delivery::Reply {
                     router,
                     ticket,
                     reply,
                 });
             }
-            Flight::Reply {
+            Delivery::Reply {
                 router,
                 ticket,
                 reply,
             } => {
                 if self.slots[router].is_frozen {
-                    self.flights.push(Flight::Reply {
+                    self.deliveries.push(Delivery::Reply {
                         router,
                         ticket,
                         reply,
@@ -67,38 +67,39 @@
                     return;
                 }
                 let receiver = self.slots[router].router.to_string();
-                self.note("reply", &receiver, &(ticket.number, &reply));
-                self.with_desk(router, |desk, now, members, outbox| {
-                    desk.on_platform(now, ticket, reply, members, outbox);
+                self.record_event("reply", &receiver, &(ticket.number, &reply));
+                self.with_manager(router, |manager, now, members, outbox| {
+                    manager.on_platform(now, ticket, reply, members, outbox);
                 });
             }
-            Flight::Straggler { call } => {
+            Delivery::DelayedCall { call } => {
                 self.store.apply(call);
             }
         }
     }
 
-    fn is_held(&self, flight: &Flight) -> bool {
-        match flight {
-            Flight::Peer { to, .. } => self.slots[*to].is_frozen,
-            Flight::Reply { router, .. } => self.slots[*router].is_frozen,
-            Flight::Call { .. } | Flight::Straggler { .. } => false,
+    fn is_held(&self, delivery: &Delivery) -> bool {
+        match delivery {
+            Delivery::Peer { to, .. } => self.slots[*to].is_frozen,
+            Delivery::Reply { router, .. } => self.slots[*router].is_frozen,
+            Delivery::Call { .. } | Delivery::DelayedCall { .. } => false,
         }
     }
 
-    /// Delivers everything that is on its way, and what follows from it.
+    /// Delivers everything in flight, including what follows from it.
     pub fn settle_network(&mut self) {
         for _ in 0..20_000 {
-            let next = (0..self.flights.len()).find(|index| !self.is_held(&self.flights[*index]));
+            let next =
+                (0..self.deliveries.len()).find(|index| !self.is_held(&self.deliveries[*index]));
             let Some(index) = next else {
                 return;
             };
             self.deliver(index);
         }
-        panic!("the network never comes to rest");
+        panic!("the network did not become idle after 20,000 deliveries");
     }
 
-    /// Lets time pass in steps of one tick, with everything delivered at once.
+    /// Advances time in steps of one tick of 50 ms and delivers everything after each.
     pub fn run(&mut self, span_ms: u64) {
         for _ in 0..span_ms.div_ceil(50) {
             self.advance(50);
@@ -107,12 +108,12 @@
     }
 
     pub fn crash(&mut self, index: usize) {
-        self.slots[index].desk = None;
+        self.slots[index].manager = None;
         let router = self.slots[index].router.to_string();
-        self.note("crash", &router, &());
+        self.record_event("crash", &router, &());
     }
 
-    /// Changes how alive the others of its domain think a router is.
+    /// Sets the liveness of a router as seen by the other routers of its domain.
     pub fn set_liveness(&mut self, index: usize, liveness: MemberLiveness) {
         let router = self.slots[index].router.clone();
         let domain = self.slots[index].domain.clone();
@@ -132,8 +133,8 @@
                 entry.state = RouterState::Draining;
             }
             self.slots[other].members.insert(router.clone(), entry);
-            self.with_desk(other, |desk, now, members, outbox| {
-                desk.on_signal(now, &signal, members, outbox);
+            self.with_manager(other, |manager, now, members, outbox| {
+                manager.on_signal(now, &signal, members, outbox);
             });
         }
     }
@@ -150,8 +151,8 @@
                 self.slots[other].members.insert(router.clone(), entry);
             }
         }
-        self.with_desk(index, |desk, now, members, outbox| {
-            desk.drain(now, members, outbox);
+        self.with_manager(index, |manager, now, members, outbox| {
+            manager.drain(now, members, outbox);
         });
     }
 }
--- a/crates/beechsaddle-core/tests/money_world/world_types.rs
+++ b/crates/beechsaddle-core/tests/accounting_world/world_types.rs
@@ -1,14 +1,14 @@
-//! The `world_types` module provides what a world of money desks consists of.
+//! The `world_types` module provides the parts of a world of accounting managers.
 
+use beechsaddle_core::accounting::AccountingManager;
 use beechsaddle_core::members::{MemberEntry, MemberLiveness, MemberTable};
-use beechsaddle_core::money::MoneyDesk;
 use beechsaddle_core::peer::{PeerMessage, RouterState};
 use beechsaddle_core::platform::{PlatformCall, PlatformReply, PlatformTicket};
 use beechsaddle_core::prelude::*;
 
-/// Something on its way.
+/// A message, platform call or reply in flight.
 #[derive(Clone, Debug)]
-pub enum Flight {
+pub enum Delivery {
     Peer {
         from: usize,
         to: usize,
@@ -24,11 +24,11 @@
         ticket: PlatformTicket,
         reply: PlatformReply,
     },
-    /// A write whose answer was lost before it took effect.
-    Straggler { call: PlatformCall },
+    /// A call whose reply was lost before it took effect.
+    DelayedCall { call: PlatformCall },
 }
 
-/// A call as its caller and its engine see it.
+/// A call as seen by its caller and its engine.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
     pub entry: usize,
@@ -37,7 +37,7 @@
     pub bound: u64,
     /// `None` while the caller waits for a reservation.
     pub admitted: Option<Result<(), CallRefusal>>,
-    /// What the engine generated.
+    /// Tokens that the engine generated.
     pub served: u64,
     pub settled: Option<u64>,
     pub is_released: bool,
@@ -45,13 +45,13 @@
 
 pub struct RouterSlot {
     pub router: RouterIncarnation,
-    pub desk: Option<MoneyDesk>,
+    pub manager: Option<AccountingManager>,
     pub members: MemberTable,
     pub domain: DomainName,
     pub is_frozen: bool,
     pub is_gone: bool,
-    /// Died with whatever it had in memory.
-    pub is_lost: bool,
+    /// Whether the process died and lost its memory.
+    pub has_crashed: bool,
     pub is_draining: bool,
     pub calls: u64,
 }
--- a/crates/beechsaddle-core/tests/fault_fleet/fault_store.rs
+++ b/crates/beechsaddle-core/tests/fault_fleet/fault_store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use beechsaddle_core::money::{BillRecord, BudgetAccount, BudgetLedger};
+use beechsaddle_core::accounting::{BillRecord, BudgetAccount, BudgetLedger};
 use beechsaddle_core::objects::PlatformObject;
 use beechsaddle_core::platform::{PlatformCall, PlatformReply, StoredObject, WriteGuard};
 use beechsaddle_core::prelude::*;
--- a/crates/beechsaddle-core/tests/fault_fleet/fleet_checks.rs
+++ b/crates/beechsaddle-core/tests/fault_fleet/fleet_checks.rs
@@ -19,10 +19,10 @@
             let paid = account.paid();
             self.faults.push(format!("{relayed} used of {paid} paid"));
         }
-        if relayed > account.promised() {
-            let promised = account.promised();
+        if relayed > account.allocated() {
+            let allocated = account.allocated();
             self.faults
-                .push(format!("{relayed} used, {promised} accounted for"));
+                .push(format!("{relayed} used, {allocated} accounted for"));
         }
     }
 
--- a/crates/beechsaddle-core/tests/fault_fleet/fleet_node.rs
+++ b/crates/beechsaddle-core/tests/fault_fleet/fleet_node.rs
@@ -49,10 +49,10 @@
         self.name.epoch += 1;
         let mut options = router_options(&self.name, &self.domain, seeds);
         // Shorter than by default, so that a session heals in a minute of model time.
-        options.money.idle_return_ms = 5_000;
+        options.accounting.idle_return_ms = 5_000;
         options.members.list_lag_ms = 3_000;
-        options.money.list_lag_ms = 3_000;
-        options.money.audit_period_ms = 5_000;
+        options.accounting.list_lag_ms = 3_000;
+        options.accounting.audit_period_ms = 5_000;
         self.core = Some(RouterCore::new(options));
         self.is_frozen = false;
         self.held.clear();
--- a/crates/beechsaddle-core/tests/fleet_setup/mod.rs
+++ b/crates/beechsaddle-core/tests/fleet_setup/mod.rs
@@ -2,6 +2,7 @@
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
+use beechsaddle_core::accounting::AccountingOptions;
 use beechsaddle_core::admission::{AdmissionOptions, RetryOptions};
 use beechsaddle_core::call::KeyDigest;
 use beechsaddle_core::calls::CallOptions;
@@ -12,7 +13,6 @@
 use beechsaddle_core::members::{
     HostList, HostRecord, HostRole, HostState, MemberOptions, SeedPeer,
 };
-use beechsaddle_core::money::MoneyOptions;
 use beechsaddle_core::objects::FleetLayout;
 use beechsaddle_core::once::OnceOptions;
 use beechsaddle_core::orders::OrderOptions;
@@ -71,9 +71,9 @@
         seed: 1,
         layout,
         calls: CallOptions::default(),
-        money: MoneyOptions {
+        accounting: AccountingOptions {
             shard_count: 1,
-            ..MoneyOptions::default()
+            ..AccountingOptions::default()
         },
         once: OnceOptions {
             shard_count: 1,
--- a/crates/beechsaddle-core/tests/router_support/mod.rs
+++ b/crates/beechsaddle-core/tests/router_support/mod.rs
@@ -2,11 +2,11 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
+use beechsaddle_core::accounting::{BudgetAccount, BudgetLedger};
 use beechsaddle_core::call::{
     AnswerEnd, AttemptFailure, CallAction, CallArrival, CallEvent, CallRoute, KeyDigest, TokenUsage,
 };
 use beechsaddle_core::event::TICK_MS;
-use beechsaddle_core::money::{BudgetAccount, BudgetLedger};
 use beechsaddle_core::objects::PlatformObject;
 use beechsaddle_core::platform::{PlatformCall, PlatformReply, PlatformTicket, StoredObject};
 use beechsaddle_core::prelude::*;
--- a/crates/beechsaddle-lab/src/load/ledger_totals.rs
+++ b/crates/beechsaddle-lab/src/load/ledger_totals.rs
@@ -1,6 +1,6 @@
 //! The `ledger_totals` module provides what the ledger says of all budgets together.
 
-use beechsaddle_core::money::BudgetAccount;
+use beechsaddle_core::accounting::BudgetAccount;
 use beechsaddle_core::objects::PlatformObject;
 
 use super::PlatformReader;
--- a/crates/beechsaddle-lab/src/measure/domain_bytes.rs
+++ b/crates/beechsaddle-lab/src/measure/domain_bytes.rs
@@ -3,6 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
+use beechsaddle_core::accounting::AccountingOptions;
 use beechsaddle_core::admission::{AdmissionOptions, RetryOptions};
 use beechsaddle_core::calls::CallOptions;
 use beechsaddle_core::catalogue::{
@@ -11,7 +12,6 @@
 };
 use beechsaddle_core::event::TICK_MS;
 use beechsaddle_core::members::{HostList, HostRecord, HostRole, HostState, MemberOptions};
-use beechsaddle_core::money::MoneyOptions;
 use beechsaddle_core::objects::{FleetLayout, PlatformObject};
 use beechsaddle_core::once::OnceOptions;
 use beechsaddle_core::orders::OrderOptions;
@@ -278,7 +278,7 @@
             dedup_shards: 1,
         },
         calls: CallOptions::default(),
-        money: MoneyOptions::default(),
+        accounting: AccountingOptions::default(),
         once: OnceOptions::default(),
         members: MemberOptions::default(),
         catalogue: CatalogueOptions::default(),
--- a/crates/beechsaddle-lab/src/measure/grants/grant_model.rs
+++ b/crates/beechsaddle-lab/src/measure/grants/grant_model.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
+use beechsaddle_core::accounting::{AccountingManager, BudgetAccount, BudgetLedger};
 use beechsaddle_core::members::{MemberEntry, MemberLiveness, MemberTable};
-use beechsaddle_core::money::{BudgetAccount, BudgetLedger, MoneyDesk};
 use beechsaddle_core::objects::PlatformObject;
 use beechsaddle_core::peer::{AdmitRequest, PeerMessage, RouterState};
 use beechsaddle_core::platform::{PlatformCall, PlatformReply, PlatformTicket};
@@ -40,7 +40,7 @@
 struct ModelRouter {
     me: RouterIncarnation,
     domain: usize,
-    desk: MoneyDesk,
+    desk: AccountingManager,
     members: MemberTable,
     calls: u64,
 }
@@ -294,7 +294,7 @@
     fn step(
         &mut self,
         index: usize,
-        step: impl FnOnce(&mut MoneyDesk, ClockTime, &MemberTable, &mut CoreOutbox),
+        step: impl FnOnce(&mut AccountingManager, ClockTime, &MemberTable, &mut CoreOutbox),
     ) {
         let router = &mut self.routers[index];
         let mut outbox = CoreOutbox::new();
@@ -346,7 +346,7 @@
         let me = RouterIncarnation::new(HostName::new(format!("router-{index}")), epoch);
         let domain = index / self.setup.routers_per_domain;
         ModelRouter {
-            desk: MoneyDesk::new(self.setup.options.clone(), me.clone()),
+            desk: AccountingManager::new(self.setup.options.clone(), me.clone()),
             members: MemberTable::new(me.clone(), domain_name(domain)),
             me,
             domain,
--- a/crates/beechsaddle-lab/src/measure/grants/grant_setup.rs
+++ b/crates/beechsaddle-lab/src/measure/grants/grant_setup.rs
@@ -1,6 +1,6 @@
 //! The `grant_setup` module provides the conditions of one run and its callers.
 
-use beechsaddle_core::money::MoneyOptions;
+use beechsaddle_core::accounting::AccountingOptions;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub struct GrantSetup {
     /// Settings of the money desks.
-    pub options: MoneyOptions,
+    pub options: AccountingOptions,
     /// Routers in each of three domains.
     pub routers_per_domain: usize,
     /// Budgets, all alike.
@@ -35,7 +35,7 @@
 impl Default for GrantSetup {
     fn default() -> Self {
         GrantSetup {
-            options: MoneyOptions::default(),
+            options: AccountingOptions::default(),
             routers_per_domain: 3,
             budgets: 1,
             budget_tokens: 20_000_000,
--- a/crates/beechsaddle-lab/src/measure/grants/mod.rs
+++ b/crates/beechsaddle-lab/src/measure/grants/mod.rs
@@ -10,7 +10,7 @@
 mod model_store;
 mod split_model;
 
-use beechsaddle_core::money::MoneyOptions;
+use beechsaddle_core::accounting::AccountingOptions;
 
 pub use grant_figures::GrantFigures;
 pub use grant_model::GrantModel;
@@ -53,9 +53,9 @@
             let setup = GrantSetup {
                 outage_ms: Some((60_000, 90_000)),
                 deaths,
-                options: MoneyOptions {
+                options: AccountingOptions {
                     endurance_ms,
-                    ..MoneyOptions::default()
+                    ..AccountingOptions::default()
                 },
                 ..GrantSetup::default()
             };
@@ -90,9 +90,9 @@
             let setup = GrantSetup::default();
             let setup = GrantSetup {
                 deaths: (per_hour * setup.duration_ms).div_ceil(3_600_000),
-                options: MoneyOptions {
+                options: AccountingOptions {
                     endurance_ms,
-                    ..MoneyOptions::default()
+                    ..AccountingOptions::default()
                 },
                 ..setup
             };
--- a/crates/beechsaddle-lab/src/measure/sample_objects.rs
+++ b/crates/beechsaddle-lab/src/measure/sample_objects.rs
@@ -3,6 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use beechsaddle_core::accounting::{
+    BillRecord, BilledKey, BudgetAccount, BudgetLedger, JournalSegment, OpenGrant,
+};
 use beechsaddle_core::call::KeyDigest;
 use beechsaddle_core::catalogue::{
     CatalogueBase, CatalogueEntry, EntryClass, EntryHeader, EntryLimits, WorkspaceEntry,
@@ -10,9 +13,6 @@
 use beechsaddle_core::clock::ClockTime;
 use beechsaddle_core::hash::stable_hash;
 use beechsaddle_core::members::{HostList, HostRecord, HostRole, HostState};
-use beechsaddle_core::money::{
-    BillRecord, BilledKey, BudgetAccount, BudgetLedger, JournalSegment, OpenGrant,
-};
 use beechsaddle_core::names::{CallId, KeyOrigin, RequestKey, RouterIncarnation};
 use beechsaddle_core::objects::PlatformObject;
 use beechsaddle_core::once::{DedupRecord, DedupShard};
--- a/crates/beechsaddle-lab/tests/load_ledger.rs
+++ b/crates/beechsaddle-lab/tests/load_ledger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use beechsaddle_core::money::{BudgetAccount, BudgetLedger, OpenGrant};
+use beechsaddle_core::accounting::{BudgetAccount, BudgetLedger, OpenGrant};
 use beechsaddle_core::objects::PlatformObject;
 use beechsaddle_lab::load::{LedgerTotals, PlatformReader};
 use beechsaddle_lab::stand_in::{PlatformOptions, PlatformServer};
--- a/crates/beechsaddle-wire/tests/platform_codec.rs
+++ b/crates/beechsaddle-wire/tests/platform_codec.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
+use beechsaddle_core::accounting::{BudgetAccount, BudgetLedger, JournalSegment, OpenGrant};
 use beechsaddle_core::call::KeyDigest;
 use beechsaddle_core::catalogue::{
     CatalogueBase, CatalogueEntry, EntryClass, EntryHeader, EntryLimits, WorkspaceEntry,
 };
-use beechsaddle_core::money::{BudgetAccount, BudgetLedger, JournalSegment, OpenGrant};
 use beechsaddle_core::objects::{FleetLayout, PlatformObject};
 use beechsaddle_core::prelude::*;
 use beechsaddle_wire::{OBJECT_BYTES_MAX, WireError, decode_object, encode_object};
--- a/crates/beechsaddle/src/operator/ledger_book.rs
+++ b/crates/beechsaddle/src/operator/ledger_book.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use beechsaddle_core::accounting::{BudgetAccount, BudgetLedger};
 use beechsaddle_core::catalogue::BudgetDeclaration;
-use beechsaddle_core::money::{BudgetAccount, BudgetLedger};
 use beechsaddle_core::objects::{FleetLayout, PlatformObject};
 use beechsaddle_core::platform::WriteGuard;
 use beechsaddle_core::prelude::*;
--- a/crates/beechsaddle/src/operator/ledger_edit.rs
+++ b/crates/beechsaddle/src/operator/ledger_edit.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
+use beechsaddle_core::accounting::{BudgetAccount, BudgetLedger};
 use beechsaddle_core::catalogue::BudgetDeclaration;
-use beechsaddle_core::money::{BudgetAccount, BudgetLedger};
 use beechsaddle_core::prelude::*;
 
 /// Stands between the id of a top-up and the number of a withdrawal from it; no id of a top-up has
--- a/crates/beechsaddle/src/operator/statement.rs
+++ b/crates/beechsaddle/src/operator/statement.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use beechsaddle_core::money::{BillRecord, BudgetAccount, JournalSegment, read_segment_key};
+use beechsaddle_core::accounting::{BillRecord, BudgetAccount, JournalSegment, read_segment_key};
 use beechsaddle_core::objects::PlatformObject;
 use beechsaddle_core::prelude::*;
 use serde::Serialize;
--- a/crates/beechsaddle/src/router/router_setup.rs
+++ b/crates/beechsaddle/src/router/router_setup.rs
@@ -4,12 +4,12 @@
 
 use eyre::{Result, eyre};
 
+use beechsaddle_core::accounting::AccountingOptions;
 use beechsaddle_core::admission::{AdmissionOptions, RetryOptions};
 use beechsaddle_core::calls::CallOptions;
 use beechsaddle_core::catalogue::CatalogueOptions;
 use beechsaddle_core::hash::stable_hash;
 use beechsaddle_core::members::{MemberOptions, SeedPeer};
-use beechsaddle_core::money::MoneyOptions;
 use beechsaddle_core::objects::FleetLayout;
 use beechsaddle_core::once::OnceOptions;
 use beechsaddle_core::orders::OrderOptions;
@@ -101,7 +101,7 @@
                 dedup_shards: self.settings.budgets.dedup_shards,
             },
             calls: CallOptions::default(),
-            money: self.money(),
+            accounting: self.accounting(),
             once: self.once(),
             members: self.members(),
             catalogue: self.catalogue(),
@@ -126,16 +126,16 @@
         })
     }
 
-    fn money(&self) -> MoneyOptions {
+    fn accounting(&self) -> AccountingOptions {
         let budgets = &self.settings.budgets;
-        MoneyOptions {
+        AccountingOptions {
             shard_count: budgets.ledger_shards,
             endurance_ms: budgets.endurance_ms,
             endurance_share_permille: budgets.endurance_share_permille,
             journal_period_ms: budgets.journal_period_ms,
             fold_period_ms: budgets.journal_period_ms * FOLD_JOURNALS,
             idle_return_ms: budgets.idle_grant_ms,
-            ..MoneyOptions::default()
+            ..AccountingOptions::default()
         }
     }
 
--- a/crates/beechsaddle/tests/operator_apply.rs
+++ b/crates/beechsaddle/tests/operator_apply.rs
@@ -3,9 +3,9 @@
 mod operator_common;
 
 use beechsaddle::operator::{ItemId, LedgerRefusal, OperatorError, read_declared};
+use beechsaddle_core::accounting::OpenGrant;
 use beechsaddle_core::catalogue::{CatalogueChange, EntryEdit, change_key};
 use beechsaddle_core::clock::ClockTime;
-use beechsaddle_core::money::OpenGrant;
 use beechsaddle_core::names::{BudgetName, KeyText, OwnerName};
 use beechsaddle_core::objects::PlatformObject;
 
--- a/crates/beechsaddle/tests/operator_common/mod.rs
+++ b/crates/beechsaddle/tests/operator_common/mod.rs
@@ -7,8 +7,8 @@
 
 use beechsaddle::catalogue_files::{BaseFile, DeclaredCatalogue, read_catalogue_texts};
 use beechsaddle::operator::{ApplyOptions, ApplyOutcome, ApplyRun, ObjectStore, Result};
+use beechsaddle_core::accounting::BudgetAccount;
 use beechsaddle_core::clock::ClockTime;
-use beechsaddle_core::money::BudgetAccount;
 use beechsaddle_core::names::{BudgetName, ObjectKey, OwnerName};
 use beechsaddle_core::objects::{FleetLayout, PlatformObject};
 use beechsaddle_core::platform::{PlatformCall, PlatformReply, StoredObject, WriteGuard};
--- a/crates/beechsaddle/tests/operator_statement.rs
+++ b/crates/beechsaddle/tests/operator_statement.rs
@@ -3,7 +3,7 @@
 mod operator_common;
 
 use beechsaddle::operator::WorkspaceStatement;
-use beechsaddle_core::money::{BillRecord, JournalSegment, OpenGrant};
+use beechsaddle_core::accounting::{BillRecord, JournalSegment, OpenGrant};
 use beechsaddle_core::names::{
     BudgetName, CallId, KeyOrigin, KeyText, RequestKey, RouterIncarnation, WorkspaceName,
 };
--- a/crates/beechsaddle/tests/platform_outcomes.rs
+++ b/crates/beechsaddle/tests/platform_outcomes.rs
@@ -193,7 +193,7 @@
 async fn write_too_large() {
     let server = server();
     let client = client(&options(&server));
-    let segment = beechsaddle_core::money::JournalSegment {
+    let segment = beechsaddle_core::accounting::JournalSegment {
         write_id: "w".repeat(OBJECT_BYTES_MAX),
         ..Default::default()
     };
