--- a/crates/beechsaddle-core/src/gateway/caller_limits.rs
+++ b/crates/beechsaddle-core/src/gateway/caller_limits.rs
@@ -1,20 +1,20 @@
-//! The `caller_limits` module provides what a caller may send, and how long it may take.
+//! The `caller_limits` module provides the limits on the size and duration of callers' requests.
 
-/// Limits on callers, as the operator declares them.
+/// Limits on callers, as declared by the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
     /// The largest request head, in bytes.
     pub head_bytes: usize,
     /// The largest request body, in bytes.
     pub body_bytes: usize,
-    /// How long a request head may take, in milliseconds.
+    /// The longest time in which a request head must arrive, in milliseconds.
     pub head_timeout_ms: u64,
-    /// How long a connection may stay idle, in milliseconds.
+    /// The longest time that a connection may stay idle, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// In force until an operator's limits are known: common defaults of HTTP servers.
+    /// The limits before the operator's are known: common defaults of HTTP servers.
     fn default() -> Self {
         CallerLimits {
             head_bytes: 16_384,
--- a/crates/beechsaddle-core/src/gateway/news_log.rs
+++ b/crates/beechsaddle-core/src/gateway/change_log.rs
@@ -1,47 +1,49 @@
-//! The `news_log` module provides the latest changes of one kind of objects, for routers that follow another
-//! router instead of the store.
+//! The `change_log` module provides the latest changes of one kind of objects, for routers that
+//! follow another router instead of the store.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// How many batches are kept. Whoever is further behind asks the store for all objects; at a batch every
-/// 0.4 s this is half a minute, longer than a router may be cut off and still catch up by changes.
+/// The largest number of retained batches. A follower that is further behind lists all objects from
+/// the store; at one batch every 0.4 s this is half a minute, longer than most partitions from
+/// which a router can still catch up by changes.
 const BATCHES_MAX: usize = 64;
 
-/// How many bytes of batches are kept: a few of the largest configurations, a small part of a host's memory.
+/// The largest number of retained bytes: a few of the largest configurations, a small part of a
+/// host's memory.
 const BYTES_MAX: usize = 2 * 1_024 * 1_024;
 
-/// Changes that the store told together, encoded once for all that ask.
+/// Changes that the store returned together, encoded once for all followers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NewsBatch {
-    /// The revision that they lead to.
+pub struct ChangeBatch {
+    /// The revision after the changes.
     pub revision: u64,
-    /// The changes.
+    /// The encoded changes.
     pub body: Arc<[u8]>,
 }
 
-/// What a log has for one that knows everything up to a revision.
+/// The answer to a follower that knows everything up to a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NewsReply {
+pub enum ChangeReply {
     /// Changes, the oldest first.
-    News(Vec<NewsBatch>),
-    /// Nothing newer is known.
+    News(Vec<ChangeBatch>),
+    /// No newer changes are known.
     Nothing,
-    /// Changes after that revision are not kept.
+    /// Changes after that revision are no longer retained.
     Gone,
 }
 
-/// The latest changes of one kind of objects, without a gap.
+/// The latest changes of one kind of objects, without gaps.
 #[derive(Clone, Debug, Default)]
-pub struct NewsLog {
-    batches: VecDeque<NewsBatch>,
+pub struct ChangeLog {
+    batches: VecDeque<ChangeBatch>,
     bytes: usize,
     start: u64,
     revision: u64,
 }
 
-impl NewsLog {
-    /// Begins anew at a revision: what came before is not known.
+impl ChangeLog {
+    /// Clears the log and starts it at a revision.
     pub fn restart(&mut self, revision: u64) {
         self.batches.clear();
         self.bytes = 0;
@@ -49,7 +51,7 @@
         self.revision = revision;
     }
 
-    /// The newest revision that is known; 0 before the first.
+    /// Returns the newest known revision; 0 before the first.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -59,7 +61,7 @@
         if revision <= self.revision {
             return;
         }
-        let batch = NewsBatch {
+        let batch = ChangeBatch {
             revision,
             body: body.into(),
         };
@@ -71,15 +73,15 @@
         }
     }
 
-    /// Notes that nothing changed up to a revision.
-    pub fn note_unchanged(&mut self, revision: u64) {
+    /// Records that nothing changed up to a revision.
+    pub fn record_unchanged(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// The changes after a revision.
-    pub fn since(&self, revision: u64) -> NewsReply {
+    /// Returns the changes after a revision.
+    pub fn since(&self, revision: u64) -> ChangeReply {
         if self.revision == 0 || revision < self.start {
-            return NewsReply::Gone;
+            return ChangeReply::Gone;
         }
         let newer = self
             .batches
@@ -87,8 +89,8 @@
             .filter(|batch| batch.revision > revision);
         let newer: Vec<_> = newer.cloned().collect();
         match newer.is_empty() {
-            true => NewsReply::Nothing,
-            false => NewsReply::News(newer),
+            true => ChangeReply::Nothing,
+            false => ChangeReply::News(newer),
         }
     }
 
--- a/crates/beechsaddle-core/src/gateway/crash_book.rs
+++ b/crates/beechsaddle-core/src/gateway/crash_registry.rs
@@ -1,102 +1,109 @@
-//! The `crash_book` module provides what is known of requests that crash the targets which run them.
+//! The `crash_registry` module provides the record of requests that may crash the targets which run
+//! them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::crash_suspect::{CRASHES_MAX, CrashSuspect};
-use super::{CrashSighting, RequestFingerprint, TargetIncarnation};
+use super::{CrashReport, RequestFingerprint, TargetIncarnation};
 use crate::clock::ClockTime;
 
-/// Requests that are kept in mind. A flood of different ones costs a router a few hundred kilobytes.
+/// The largest number of suspected requests. A flood of different requests costs a router a few
+/// hundred kilobytes.
 const SUSPECTS_MAX: usize = 512;
 
-/// What becomes of a request.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashVerdict {
-    /// It goes the usual way.
+    /// The request is routed normally.
     Clear,
-    /// It may have crashed one or two targets: it is sent apart from others.
+    /// The request may have crashed one or two targets and is isolated from other requests.
     Suspected,
-    /// It may have crashed more, at once, or long ago: one router of a domain tries it, once at a time.
+    /// The request may have crashed three or more targets, but all at once or long ago: one router
+    /// of each domain tries it, one attempt at a time.
     OnTrial,
-    /// It is refused.
+    /// The request is refused.
     Blocked {
-        /// For how long yet, in milliseconds.
+        /// The remaining time of the refusal, in milliseconds.
         left_ms: u64,
     },
 }
 
-/// What this router has seen and heard of crashes, and which requests it refuses for them.
+/// The crashes that this router observed or received reports of, and the requests refused because
+/// of them.
 ///
-/// A crash ends everything that runs on a target, so that each request there is a suspect. Whatever runs to its end
-/// is cleared. Of those that are left, the one under which most targets crashed is taken for the cause once there
-/// are three and it was sent again in between; the crashes that it explains no longer count against others. A verdict
-/// against the wrong one of two that crashed together rights itself with the next crash of the other one.
+/// A crash ends everything that runs on a target, so each request there is a suspect until it runs
+/// to completion. Among the remaining suspects, the request under which most targets crashed is
+/// taken for the cause once there are three crashes and it was retried in between; crashes
+/// attributed to it no longer count against other requests. If two requests crash together and the
+/// wrong one is blocked, the next crash of the other corrects the verdict.
 #[derive(Clone, Debug, Default)]
-pub struct CrashBook {
+pub struct CrashRegistry {
     suspects: BTreeMap<RequestFingerprint, CrashSuspect>,
     blocked: BTreeSet<RequestFingerprint>,
     explained: BTreeSet<TargetIncarnation>,
 }
 
-impl CrashBook {
-    /// Takes over a crash that was seen here or heard of; tells whether it is news.
-    pub fn note(&mut self, now: ClockTime, sighting: CrashSighting) -> bool {
-        let CrashSighting {
+impl CrashRegistry {
+    /// Merges a crash that was observed here or received; returns whether it changed anything.
+    pub fn record(&mut self, now: ClockTime, report: CrashReport) -> bool {
+        let CrashReport {
             fingerprint,
             target,
             facts,
-        } = sighting;
+        } = report;
         let suspect = self.suspects.entry(fingerprint).or_default();
-        let is_news = suspect.note(target, facts);
-        if suspect.kept_until() < now {
+        let is_new = suspect.record(target, facts);
+        if suspect.retained_until() < now {
             self.suspects.remove(&fingerprint);
-            self.judge();
+            self.update_blocked();
             return false;
         }
-        if is_news {
+        if is_new {
             self.bound_size(fingerprint);
-            self.judge();
+            self.update_blocked();
         }
-        is_news
+        is_new
     }
 
-    /// Notes that a request ran to its end; gives what changed by it, for other routers.
-    pub fn clear(&mut self, fingerprint: RequestFingerprint) -> Vec<CrashSighting> {
+    /// Records that a request ran to completion; returns the changed reports, for other routers.
+    pub fn clear(&mut self, fingerprint: RequestFingerprint) -> Vec<CrashReport> {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return Vec::new();
         };
         let cleared = suspect.clear().into_iter();
         let cleared: Vec<_> = cleared
-            .map(|(target, facts)| CrashSighting {
+            .map(|(target, facts)| CrashReport {
                 fingerprint,
                 target,
                 facts,
             })
             .collect();
         if !cleared.is_empty() {
-            self.judge();
+            self.update_blocked();
         }
         cleared
     }
 
-    /// How many crashes a request may have caused that nothing else explains.
+    /// Returns the number of crashes that a request may have caused and that no other request
+    /// explains.
     pub fn crash_count(&self, fingerprint: RequestFingerprint) -> usize {
         let Some(suspect) = self.suspects.get(&fingerprint) else {
             return 0;
         };
         match self.blocked.contains(&fingerprint) {
             true => suspect.targets().count(),
-            false => suspect.count_beside(&self.explained),
+            false => suspect.count_unexplained(&self.explained),
         }
     }
 
-    /// How many of these crashes were not seen just now, so that one more under the request is a repeat.
+    /// Returns how many of these crashes are old enough that another one under the request counts
+    /// as a repeat.
     pub fn settled_count(&self, now: ClockTime, fingerprint: RequestFingerprint) -> usize {
         let suspect = self.suspects.get(&fingerprint);
-        suspect.map_or(0, |suspect| suspect.settled_beside(now, &self.explained))
+        suspect.map_or(0, |suspect| suspect.settled_count(now, &self.explained))
     }
 
-    /// What becomes of a request that arrives now.
+    /// Returns the decision on a request that arrives now.
     pub fn verdict(&self, now: ClockTime, fingerprint: RequestFingerprint) -> CrashVerdict {
         let Some(suspect) = self.suspects.get(&fingerprint) else {
             return CrashVerdict::Clear;
@@ -112,7 +119,7 @@
         }
     }
 
-    /// The targets that a request may have crashed, for logs.
+    /// Returns the targets that a request may have crashed, for logs.
     pub fn targets(&self, fingerprint: RequestFingerprint) -> Vec<&TargetIncarnation> {
         let suspect = self.suspects.get(&fingerprint);
         suspect
@@ -121,48 +128,48 @@
             .collect()
     }
 
-    /// Whether every router needs to know what is known of a request.
+    /// Whether all routers need the crash reports of a request.
     pub fn is_shared(&self, fingerprint: RequestFingerprint) -> bool {
         let suspect = self.suspects.get(&fingerprint);
         suspect.is_some_and(CrashSuspect::is_shared)
     }
 
-    /// All crashes of a request.
-    pub fn sightings(&self, fingerprint: RequestFingerprint) -> Vec<CrashSighting> {
+    /// Returns all crash reports of a request.
+    pub fn reports(&self, fingerprint: RequestFingerprint) -> Vec<CrashReport> {
         let suspect = self.suspects.get(&fingerprint);
-        let sightings = suspect.map(|suspect| suspect.sightings(fingerprint));
-        sightings.into_iter().flatten().collect()
+        let reports = suspect.map(|suspect| suspect.reports(fingerprint));
+        reports.into_iter().flatten().collect()
     }
 
-    /// All crashes that every router needs to know.
-    pub fn shared(&self) -> impl Iterator<Item = CrashSighting> {
+    /// Returns all crash reports that all routers need.
+    pub fn shared(&self) -> impl Iterator<Item = CrashReport> {
         let suspects = self.suspects.iter();
         suspects
             .filter(|(_, suspect)| suspect.is_shared())
-            .flat_map(|(fingerprint, suspect)| suspect.sightings(*fingerprint))
+            .flat_map(|(fingerprint, suspect)| suspect.reports(*fingerprint))
     }
 
-    /// Whether nothing is known of any request.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// How many requests are refused.
+    /// Returns the number of refused requests.
     pub fn blocked_count(&self) -> usize {
         self.blocked.len()
     }
 
-    /// Forgets requests whose time is over.
+    /// Removes requests whose retention time has passed.
     pub fn expire(&mut self, now: ClockTime) {
         let before = self.suspects.len();
         self.suspects
-            .retain(|_, suspect| suspect.kept_until() >= now);
+            .retain(|_, suspect| suspect.retained_until() >= now);
         if self.suspects.len() != before {
-            self.judge();
+            self.update_blocked();
         }
     }
 
-    /// Drops the request that tells least where there are too many, but not the one that was just noted.
+    /// Evicts the request with the fewest crashes if there are too many, but not the one that was
+    /// just recorded.
     fn bound_size(&mut self, newest: RequestFingerprint) {
         if self.suspects.len() <= SUSPECTS_MAX {
             return;
@@ -172,14 +179,14 @@
             .iter()
             .filter(|(fingerprint, _)| **fingerprint != newest);
         let least =
-            others.min_by_key(|(_, suspect)| (suspect.targets().count(), suspect.kept_until()));
+            others.min_by_key(|(_, suspect)| (suspect.targets().count(), suspect.retained_until()));
         if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
             self.suspects.remove(&fingerprint);
         }
     }
 
-    /// Finds the requests that explain the crashes, the likeliest first.
-    fn judge(&mut self) {
+    /// Determines which requests explain the crashes, starting with the most likely cause.
+    fn update_blocked(&mut self) {
         self.blocked.clear();
         self.explained.clear();
         let mut open: Vec<_> = self
@@ -190,19 +197,20 @@
             .collect();
         loop {
             let likeliest = open.iter().enumerate().max_by_key(|(_, (_, suspect))| {
-                // Of two that crashed the same targets, the one that had just begun each time.
+                // If two requests crashed the same targets, prefers the one with the shorter run
+                // time.
                 let brevity = u64::MAX - suspect.run_ms();
-                (suspect.count_beside(&self.explained), brevity)
+                (suspect.count_unexplained(&self.explained), brevity)
             });
-            let Some((place, (fingerprint, suspect))) = likeliest else {
+            let Some((index, (fingerprint, suspect))) = likeliest else {
                 return;
             };
-            if suspect.count_beside(&self.explained) < CRASHES_MAX {
+            if suspect.count_unexplained(&self.explained) < CRASHES_MAX {
                 return;
             }
             self.blocked.insert(**fingerprint);
             self.explained.extend(suspect.targets().cloned());
-            open.swap_remove(place);
+            open.swap_remove(index);
         }
     }
 }
--- a/crates/beechsaddle-core/src/gateway/crash_sighting.rs
+++ b/crates/beechsaddle-core/src/gateway/crash_report.rs
@@ -1,48 +1,46 @@
-//! The `crash_sighting` module provides the crash of one target while it ran one request.
+//! The `crash_report` module provides the report of a target that crashed while it ran a request.
 
 use super::RequestFingerprint;
 use crate::clock::ClockTime;
 use crate::names::TargetName;
 
-/// One start of a target, from its first entry to its end.
+/// One incarnation of a target, from its first entry in the store to its end.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TargetIncarnation {
-    /// The target's id.
     pub name: TargetName,
-    /// When it started, in Unix milliseconds of its own clock; `None` where its entry does not say.
+    /// When it started, in Unix milliseconds by its own clock; `None` if its entry does not say.
     pub started: Option<u64>,
 }
 
-/// What routers tell each other of a crash.
+/// A crash, as exchanged between routers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CrashSighting {
+pub struct CrashReport {
     /// The request that ran on the target when it crashed.
     pub fingerprint: RequestFingerprint,
-    /// The target.
+    /// The target that crashed.
     pub target: TargetIncarnation,
-    /// What was seen.
     pub facts: CrashFacts,
 }
 
-/// What was seen of a crash.
+/// The observations about a crash.
 ///
-/// Sightings of one request on one target merge in any order and however often they come: each part takes the one
-/// value that decides, so that all routers which heard the same come to the same verdict.
+/// Reports on the same request and target merge in any order and may be duplicated: each field
+/// keeps the value that decides, so that routers with the same reports reach the same verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashFacts {
-    /// How many crashes under the request were known to the router, and not just seen, when it sent the request to this
-    /// target.
+    /// The number of settled crashes under the request that the router knew of when it sent the
+    /// request to this target.
     pub known_before: u32,
     /// How long the target had the request, in milliseconds.
     pub run_ms: u32,
-    /// Whether the request has since run to its end, so that it was not the cause.
+    /// Whether the request has since run to completion, so that it was not the cause.
     pub is_cleared: bool,
-    /// When the crash was seen, by the clock of the router that saw it.
+    /// When the crash was observed, by the clock of the observing router.
     pub seen_at: ClockTime,
 }
 
 impl CrashFacts {
-    /// These facts together with what another router saw.
+    /// Merges these observations with those of another router.
     #[must_use]
     pub fn merge(self, other: CrashFacts) -> Self {
         CrashFacts {
--- a/crates/beechsaddle-core/src/gateway/crash_suspect.rs
+++ b/crates/beechsaddle-core/src/gateway/crash_suspect.rs
@@ -1,25 +1,29 @@
-//! The `crash_suspect` module provides the crashes that were seen under one request.
+//! The `crash_suspect` module provides the crashes recorded for one request.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{CrashFacts, CrashSighting, RequestFingerprint, TargetIncarnation};
+use super::{CrashFacts, CrashReport, RequestFingerprint, TargetIncarnation};
 use crate::clock::ClockTime;
 
-/// Crashes under one request after which it is refused: as many as the platform forgives.
+/// Number of crashes under one request after which it is refused: as many as the platform
+/// tolerates.
 pub(super) const CRASHES_MAX: usize = 3;
 
-/// How long ago a crash was seen when what follows it counts as a repeat, in milliseconds. Targets that are killed
-/// together are found dead one after the other, and a request that is sent on from the first meets the next.
+/// The age from which a crash counts for detecting a repeat, in milliseconds. Targets that are
+/// killed together are found dead one after the other, and a request retried after the first may
+/// reach the next.
 const SETTLED_MS: u64 = 100;
 
-/// Crashes that are kept of one request.
-const KEPT_MAX: usize = 16;
+/// Number of crashes retained for one request.
+const RETAINED_MAX: usize = 16;
 
-/// How long a request is refused after its last crash at first, in milliseconds: long enough that callers who ask
-/// again and again cost next to no target, and short enough that a mended target soon serves it again.
+/// The first time for which a request is refused after its last crash, in milliseconds: long enough
+/// that callers who keep retrying cost hardly any targets, and short enough that a fixed target
+/// soon serves the request again.
 const FIRST_BLOCK_MS: u64 = 600_000;
 
-/// How often that span doubles, once for each further crash: about ten hours in the end.
+/// The number of times that the refusal doubles, once for each further crash: up to about ten
+/// hours.
 const DOUBLINGS_MAX: usize = 6;
 
 /// A request under which targets have crashed.
@@ -29,21 +33,21 @@
 }
 
 impl CrashSuspect {
-    /// Takes over a crash; tells whether that changed anything.
-    pub(super) fn note(&mut self, target: TargetIncarnation, facts: CrashFacts) -> bool {
+    /// Merges a crash; returns whether it changed anything.
+    pub(super) fn record(&mut self, target: TargetIncarnation, facts: CrashFacts) -> bool {
         let known = self.crashes.get(&target).copied();
         let merged = known.map_or(facts, |known| known.merge(facts));
         if known == Some(merged) {
             return false;
         }
-        if known.is_none() && self.crashes.len() >= KEPT_MAX {
+        if known.is_none() && self.crashes.len() >= RETAINED_MAX {
             self.drop_oldest();
         }
         self.crashes.insert(target, merged);
         true
     }
 
-    /// Notes that the request ran to its end; gives the targets that this clears it of.
+    /// Records that the request ran to completion; returns the crashes of which that clears it.
     pub(super) fn clear(&mut self) -> Vec<(TargetIncarnation, CrashFacts)> {
         let mut cleared = Vec::new();
         for (target, facts) in &mut self.crashes {
@@ -55,19 +59,19 @@
         cleared
     }
 
-    /// The targets that may have crashed because of the request.
+    /// Returns the targets that the request may have crashed.
     pub(super) fn targets(&self) -> impl Iterator<Item = &TargetIncarnation> {
         self.open().map(|(target, _)| target)
     }
 
-    /// How many of them nothing else explains.
-    pub(super) fn count_beside(&self, explained: &BTreeSet<TargetIncarnation>) -> usize {
+    /// Returns the number of crashes that no other request explains.
+    pub(super) fn count_unexplained(&self, explained: &BTreeSet<TargetIncarnation>) -> usize {
         let targets = self.targets();
         targets.filter(|target| !explained.contains(target)).count()
     }
 
-    /// How many of them nothing else explains and were seen some time before `now`.
-    pub(super) fn settled_beside(
+    /// Returns the number of unexplained crashes that are at least `SETTLED_MS` old.
+    pub(super) fn settled_count(
         &self,
         now: ClockTime,
         explained: &BTreeSet<TargetIncarnation>,
@@ -80,40 +84,41 @@
 
     /// Whether the request crashed a target after a router knew that it had crashed another one.
     ///
-    /// Where many targets end at once by a fault of their own, a request that runs on several of them looks like the
-    /// cause. That it was sent again and crashed again does not happen to such a request.
+    /// If many targets end at once by a fault of their own, a request that runs on several of them
+    /// looks like the cause. Such a request does not crash another target when it is retried.
     pub(super) fn has_repeated(&self) -> bool {
         self.open().any(|(_, facts)| facts.known_before > 0)
     }
 
-    /// How long targets had the request before they crashed, added up, in milliseconds.
+    /// Returns the sum of the times that targets had the request before they crashed, in
+    /// milliseconds.
     pub(super) fn run_ms(&self) -> u64 {
         self.open().map(|(_, facts)| u64::from(facts.run_ms)).sum()
     }
 
-    /// Until when the request is refused, if it is.
+    /// Returns the end of the refusal, should the request be refused.
     pub(super) fn blocked_until(&self) -> ClockTime {
         self.last_at().plus_ms(self.block_ms())
     }
 
-    /// Until when the crashes are remembered: as long again as the request was refused. One more crash in that
-    /// time has it refused at once, and for longer.
-    pub(super) fn kept_until(&self) -> ClockTime {
+    /// Returns the end of the retention: the length of the refusal after its end. One more crash in
+    /// that time has the request refused at once, and for longer.
+    pub(super) fn retained_until(&self) -> ClockTime {
         self.blocked_until().plus_ms(self.block_ms())
     }
 
-    /// Whether other routers need to know of it: with two crashes the next one decides.
+    /// Whether other routers need the crashes: with two, the next one decides.
     pub(super) fn is_shared(&self) -> bool {
         self.crashes.len() + 1 >= CRASHES_MAX
     }
 
-    /// All crashes, as they are told to others.
-    pub(super) fn sightings(
+    /// Returns all crashes as reports for other routers.
+    pub(super) fn reports(
         &self,
         fingerprint: RequestFingerprint,
-    ) -> impl Iterator<Item = CrashSighting> {
+    ) -> impl Iterator<Item = CrashReport> {
         let crashes = self.crashes.iter();
-        crashes.map(move |(target, facts)| CrashSighting {
+        crashes.map(move |(target, facts)| CrashReport {
             fingerprint,
             target: target.clone(),
             facts: *facts,
--- a/crates/beechsaddle-core/src/gateway/deferred_change.rs
+++ b/crates/beechsaddle-core/src/gateway/deferred_change.rs
@@ -1,37 +1,36 @@
-//! The `deferred_change` module provides how tokens that are not used yet move with the changes of a ledger.
+//! The `deferred_change` module provides the accounting of deferred tokens across ledger changes.
 //!
-//! What a mark in the ledger says to be deferred stays unused here until another mark has surely taken its place, or
-//! until the time has passed that the mark names. Whichever mark is in the ledger when the process dies, the
-//! next process on its host gives back no token that was used.
+//! Tokens that a writer entry in the ledger marks as deferred stay unused until another entry has
+//! certainly replaced it, or until the time in the entry has passed. Whichever entry is in the
+//! ledger when the process ends, its successor on the same host returns no token that was used.
 
 use super::escrow_account::EscrowAccount;
-use super::{ClockBounds, DeferredCover, EscrowOptions, EscrowRole, LedgerChange, TokenTransfer};
+use super::{ClockBounds, DeferredReserve, EscrowOptions, EscrowRole, LedgerChange, TokenTransfer};
 use crate::clock::ClockTime;
 
-/// A change whose outcome is not known yet.
+/// A change whose outcome is unknown.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingChange {
-    /// The change.
     pub(super) change: LedgerChange,
-    /// When it was made.
+    /// When the change was planned.
     planned_at: ClockTime,
-    /// What it gives back of deferred tokens.
+    /// The part of the returned tokens that was deferred.
     from_deferred: u64,
-    /// What it defers of tokens that were usable before.
+    /// The tokens that were usable before and that the change defers.
     locked: u64,
-    /// Whether it was asked for more than once, so that the outcome of an earlier write of it may be unknown.
+    /// Whether the change was requested more than once, so that the outcome of an earlier write of
+    /// it may be unknown.
     is_repeated: bool,
 }
 
 impl EscrowAccount {
-    /// Tokens that are not promised, deferred ones among them.
+    /// Returns the tokens that are not reserved, including deferred ones.
     pub(super) fn held(&self) -> u64 {
         self.free.saturating_add(self.deferred)
     }
 
-    /// Lets calls use what was deferred once its time has come: so long after the last change that may be in the
-    /// ledger.
-    pub(super) fn open_deferred(&mut self, now: ClockTime, options: &EscrowOptions) {
+    /// Makes deferred tokens usable `defer_ms` after the last change that may be in the ledger.
+    pub(super) fn release_deferred(&mut self, now: ClockTime, options: &EscrowOptions) {
         let pending_at = self.pending.map(|pending| pending.planned_at);
         let since = pending_at.unwrap_or(self.marked_at);
         if now.since(since) >= options.defer_ms {
@@ -40,8 +39,8 @@
         }
     }
 
-    /// Makes a change. What it gives back, and what it defers, is given up now: it cannot be used while the write is
-    /// on its way.
+    /// Begins a change. Tokens that it returns or defers are unavailable from now on, so that they
+    /// cannot be used while the write is in flight.
     pub(super) fn begin_change(
         &mut self,
         now: ClockTime,
@@ -62,7 +61,7 @@
         }
         let idle = self.held().saturating_add(taken);
         let deferred = self.defer(now, idle, clock, options);
-        let wanted = deferred.map_or(0, |cover| cover.tokens);
+        let wanted = deferred.map_or(0, |reserve| reserve.tokens);
         let locked = wanted.saturating_sub(self.deferred + taken).min(self.free);
         self.free -= locked;
         self.deferred += locked;
@@ -83,40 +82,41 @@
         change
     }
 
-    /// The pending change is in the ledger.
+    /// Applies the pending change, which is in the ledger.
     pub(super) fn commit_change(&mut self) {
         let Some(pending) = self.pending.take() else {
             return;
         };
         let change = pending.change;
-        self.told = change.idle;
+        self.reported_idle = change.idle;
         self.marked_at = pending.planned_at;
-        let wanted = change.deferred.map_or(0, |cover| cover.tokens);
+        let wanted = change.deferred.map_or(0, |reserve| reserve.tokens);
         if let TokenTransfer::Take(tokens) = change.transfer {
             let deferred = wanted.saturating_sub(self.deferred).min(tokens);
             self.deferred += deferred;
             self.free += tokens - deferred;
         }
-        let opened = self.deferred.saturating_sub(wanted);
-        self.deferred -= opened;
-        self.free += opened;
+        let released = self.deferred.saturating_sub(wanted);
+        self.deferred -= released;
+        self.free += released;
     }
 
-    /// The pending change, once more.
+    /// Returns the pending change for another write.
     pub(super) fn repeat_change(&mut self) -> Option<LedgerChange> {
         let pending = self.pending.as_mut()?;
         pending.is_repeated = true;
         Some(pending.change)
     }
 
-    /// The last write of the pending change was turned away. If it was the only one, the change never will be done.
+    /// Handles the rejection of the last write of the pending change. If it was the only write, the
+    /// change is reverted, as it will never be applied.
     pub(super) fn withdraw_change(&mut self) {
         if self.pending.is_some_and(|pending| !pending.is_repeated) {
             self.revert_change();
         }
     }
 
-    /// The pending change is not in the ledger and never will be.
+    /// Reverts the pending change, which is not in the ledger and never will be.
     pub(super) fn revert_change(&mut self) {
         let Some(pending) = self.pending.take() else {
             return;
@@ -130,22 +130,23 @@
         }
     }
 
-    /// What to defer of `idle` tokens: what calls do not use before it may be used again.
+    /// Determines how many of `idle` tokens to defer: those that calls will not need before they
+    /// become usable again.
     fn defer(
         &self,
         now: ClockTime,
         idle: u64,
         clock: ClockBounds,
         options: &EscrowOptions,
-    ) -> Option<DeferredCover> {
+    ) -> Option<DeferredReserve> {
         let earliest = clock.earliest?;
-        if self.role != EscrowRole::Keeper || self.is_closing || self.is_scarce() {
+        if self.role != EscrowRole::Allocator || self.is_closing || self.is_scarce() {
             return None;
         }
         let demand = self.demand.per_second(now).max(0.0) * options.open_s;
         let open = (demand as u64).max(self.largest_at(now));
         let tokens = idle.saturating_sub(self.awaited()).saturating_sub(open);
-        (tokens > 0 && options.defer_ms > 0).then_some(DeferredCover {
+        (tokens > 0 && options.defer_ms > 0).then_some(DeferredReserve {
             tokens,
             until: earliest.plus_ms(options.defer_ms),
         })
--- a/crates/beechsaddle-core/src/gateway/demand_peak.rs
+++ b/crates/beechsaddle-core/src/gateway/demand_peak.rs
@@ -1,37 +1,37 @@
-//! The `demand_peak` module provides the largest request of the last while.
+//! The `demand_peak` module provides the largest recent request.
 
 use crate::clock::ClockTime;
 
-/// The largest recent request.
+/// The largest recent request, by tokens.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DemandPeak {
     half_life_ms: u64,
     tokens: u64,
-    noted_at: ClockTime,
+    recorded_at: ClockTime,
 }
 
 impl DemandPeak {
-    /// No request so far; `half_life_ms` is that of the average demand beside it.
+    /// Creates an empty peak; `half_life_ms` is that of the average demand it complements.
     pub(super) fn new(half_life_ms: u64) -> Self {
         DemandPeak {
             half_life_ms,
             tokens: 0,
-            noted_at: ClockTime::default(),
+            recorded_at: ClockTime::default(),
         }
     }
 
-    /// Notes a request. A smaller one takes the place of the largest once that is old.
-    pub(super) fn note(&mut self, now: ClockTime, tokens: u64) {
-        let is_old = now.since(self.noted_at) > 2 * self.half_life_ms;
+    /// Records a request. A smaller one replaces the largest once that is two half-lives old.
+    pub(super) fn record(&mut self, now: ClockTime, tokens: u64) {
+        let is_old = now.since(self.recorded_at) > 2 * self.half_life_ms;
         if is_old || tokens > self.tokens {
             self.tokens = tokens;
-            self.noted_at = now;
+            self.recorded_at = now;
         }
     }
 
-    /// The largest recent request, in tokens; 0 where none was noted for long.
+    /// Returns the largest recent request, in tokens; 0 if none was recorded for four half-lives.
     pub(super) fn tokens_at(&self, now: ClockTime) -> u64 {
-        match now.since(self.noted_at) > 4 * self.half_life_ms {
+        match now.since(self.recorded_at) > 4 * self.half_life_ms {
             true => 0,
             false => self.tokens,
         }
--- a/crates/beechsaddle-core/src/gateway/demand_rate.rs
+++ b/crates/beechsaddle-core/src/gateway/demand_rate.rs
@@ -1,8 +1,8 @@
-//! The `demand_rate` module provides an average of a quantity a second that forgets.
+//! The `demand_rate` module provides an exponentially decaying average of a quantity per second.
 
 use crate::clock::ClockTime;
 
-/// A sum that halves with time; its level gives the average rate.
+/// An exponentially decaying sum, and the average rate derived from it.
 #[derive(Clone, Copy, Debug)]
 pub struct DemandRate {
     half_life_ms: u64,
@@ -11,12 +11,12 @@
     started_at: Option<ClockTime>,
 }
 
-/// The shortest time that an average is taken over, in milliseconds: one request in the first
-/// moment is not a flood.
+/// The shortest time over which an average is taken, in milliseconds, so that a single early
+/// request does not give a very high rate.
 const SHORTEST_MS: u64 = 1_500;
 
 impl DemandRate {
-    /// A rate of zero that halves every `half_life_ms`.
+    /// Creates a rate of zero that halves every `half_life_ms`.
     pub fn new(half_life_ms: u64, now: ClockTime) -> Self {
         DemandRate {
             half_life_ms: half_life_ms.max(1),
@@ -26,23 +26,23 @@
         }
     }
 
-    /// Adds an amount.
     pub fn add(&mut self, now: ClockTime, amount: f64) {
         self.level = self.level_at(now) + amount;
         self.updated_at = now;
         self.started_at.get_or_insert(now);
     }
 
-    /// The decayed sum.
+    /// Returns the decayed sum.
     pub fn level_at(&self, now: ClockTime) -> f64 {
         let spans = now.since(self.updated_at) as f64 / self.half_life_ms as f64;
         self.level * (-spans).exp2()
     }
 
-    /// The average amount a second, from the first amount on.
+    /// Returns the average amount per second since the first amount.
     ///
-    /// A steady rate r brings the sum to r times the mean life, which is the half-life over the
-    /// logarithm of two; of that, only the part of the time that has passed is there yet.
+    /// At a steady rate r the sum converges to r times the mean lifetime, which is the half-life
+    /// divided by the natural logarithm of two. Until then the sum is scaled by the part that has
+    /// accumulated.
     pub fn per_second(&self, now: ClockTime) -> f64 {
         let Some(started_at) = self.started_at else {
             return 0.0;
--- a/crates/beechsaddle-core/src/gateway/escrow_facts.rs
+++ b/crates/beechsaddle-core/src/gateway/escrow_facts.rs
@@ -1,35 +1,34 @@
-//! The `escrow_facts` module provides what a router holds and knows of one workspace, for others to read.
+//! The `escrow_facts` module provides a read-only view of a router's holdings of one workspace.
 
-/// Where a router gets tokens of a workspace.
+/// The source of a router's tokens of a workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EscrowRole {
-    /// It takes them from the ledger, for itself and for those that borrow from it.
-    Keeper,
-    /// It borrows them from the keeper of its domain.
+    /// The router takes tokens from the ledger, for itself and for the borrowers of its domain.
+    Allocator,
+    /// The router borrows tokens from the allocator of its domain.
     Borrower,
 }
 
 impl EscrowRole {
-    /// A word for logs and operators.
+    /// Returns the name of the role in logs and for operators.
     pub fn as_str(self) -> &'static str {
         match self {
-            EscrowRole::Keeper => "keeper",
+            EscrowRole::Allocator => "keeper",
             EscrowRole::Borrower => "borrower",
         }
     }
 }
 
-/// What a router holds and knows of one workspace, in tokens.
+/// A router's holdings of one workspace, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EscrowFacts {
-    /// Where its tokens come from.
     pub role: EscrowRole,
-    /// Held and not promised.
+    /// Held and not reserved.
     pub free: u64,
-    /// Promised to calls that run.
+    /// Reserved for running calls.
     pub reserved: u64,
-    /// Taken by nobody, as the ledger was last seen; `None` before that.
+    /// Taken by no router, as the ledger was last read; `None` before the first read.
     pub left: Option<u64>,
-    /// How long ago the ledger was seen, in milliseconds.
+    /// The age of the ledger, in milliseconds.
     pub ledger_age_ms: Option<u64>,
 }
--- a/crates/beechsaddle-core/src/gateway/escrow_loans.rs
+++ b/crates/beechsaddle-core/src/gateway/escrow_loans.rs
@@ -1,9 +1,10 @@
-//! The `escrow_loans` module provides the tokens that move between an escrow and other routers.
+//! The `escrow_loans` module provides the exchange of tokens between an escrow and other routers.
 //!
-//! A router of each domain keeps a workspace and writes its ledger. All others borrow from it and hand
-//! what they have too much of back to it, so that a ledger has a few writers and not one for each router.
-//! Tokens are given up before they are sent, whichever way they go: an answer that is lost loses them, and
-//! no order of failures lets two routers spend the same ones.
+//! One router of each domain allocates the tokens of a workspace and writes its ledger. All other
+//! routers of the domain borrow from it and return their surplus to it, so that a ledger has a few
+//! writers instead of one for each router. Tokens are deducted before they are sent, in either
+//! direction: a lost answer loses them, and no order of failures lets two routers spend the same
+//! tokens.
 
 use super::token_escrow::TokenEscrow;
 use super::{LoanReply, LoanRequest, LoanReturn, TokenTransfer};
@@ -11,7 +12,7 @@
 use crate::names::WorkspaceName;
 
 impl TokenEscrow {
-    /// What to ask another router for; `None` when no call waits.
+    /// Returns the request to send to another router; `None` if no call waits.
     pub fn loan_wanted(&self, now: ClockTime, workspace: &WorkspaceName) -> Option<LoanRequest> {
         let account = self.accounts.get(workspace)?;
         let least = account.least_awaited()?.saturating_sub(account.free);
@@ -20,30 +21,32 @@
             least,
             need,
             ahead: account.borrow_ahead(now, &self.options),
-            used: account.untold,
+            used: account.unreported_use,
         })
     }
 
-    /// Notes what a borrower's calls use: what it tells, and what they wait for. Called once for each
-    /// request, however often the lender has to look for tokens before it can answer.
+    /// Records the demand of a borrower: the use that it reports and the tokens that its calls wait
+    /// for. Called once for each request, however often the lender looks for tokens before it
+    /// answers.
     ///
-    /// What is lent ahead counts only when it is used: the stock of dozens of borrowers would look like demand,
-    /// and keepers would hold a multiple of `hold_s`.
-    pub fn note_request(
+    /// Tokens lent in advance count only once they are used. Otherwise the stock of dozens of
+    /// borrowers would look like demand, and allocators would hold a multiple of `hold_s`.
+    pub fn record_request(
         &mut self,
         now: ClockTime,
         workspace: &WorkspaceName,
         request: LoanRequest,
     ) {
         if let Some(account) = self.accounts.get_mut(workspace) {
-            account.note_use(now, request.used as f64 + request.need as f64);
-            account.note_peak(now, request.least);
+            account.record_use(now, request.used as f64 + request.need as f64);
+            account.record_peak(now, request.least);
         }
     }
 
-    /// Gives up tokens to another router: what it needs, or the smallest part that helps; beyond
-    /// that as much as leaves the same here, and the less the more has died with routers. A borrower
-    /// does not know the ledger, and what it holds dies with it as well.
+    /// Lends tokens to another router: the amount that it needs, or the smallest part that helps;
+    /// beyond that as much as leaves an equal amount here, and less the more tokens were lost with
+    /// terminated routers. A borrower does not know the ledger, and its tokens are lost with it as
+    /// well.
     pub fn lend(
         &mut self,
         now: ClockTime,
@@ -53,7 +56,7 @@
         let Some(account) = self.accounts.get_mut(workspace) else {
             return LoanReply::Short;
         };
-        account.open_deferred(now, &self.options);
+        account.release_deferred(now, &self.options);
         if account.free < request.least {
             return match account.is_exhausted(now, request.least, &self.options) {
                 true => LoanReply::Exhausted,
@@ -61,22 +64,23 @@
             };
         }
         let needed = request.need.min(account.free);
-        let rest = account.free - needed;
+        let remainder = account.free - needed;
         let ahead = (request.ahead as f64 * account.hold_factor(&self.options)) as u64;
-        let lent = needed + ahead.min(rest / 2);
+        let lent = needed + ahead.min(remainder / 2);
         account.free -= lent;
         LoanReply::Lent(lent)
     }
 
-    /// Takes over tokens that another router has given up for a request.
+    /// Adds tokens that another router lent for a request.
     pub fn receive(&mut self, workspace: &WorkspaceName, request: LoanRequest, tokens: u64) {
         if let Some(account) = self.accounts.get_mut(workspace) {
             account.free += tokens;
-            account.note_untold(-(request.used + request.need as i64));
+            account.add_unreported_use(-(request.used + request.need as i64));
         }
     }
 
-    /// Workspaces of which this router holds more than its calls use, for the router that keeps them.
+    /// Returns the workspaces of which a borrower holds more tokens than its calls use, which it
+    /// should return to their allocator.
     pub fn returnable(&self, now: ClockTime) -> Vec<WorkspaceName> {
         self.select(|account| {
             let transfer = account.next_transfer(now, &self.options);
@@ -84,7 +88,7 @@
         })
     }
 
-    /// Gives up what is held too much of a workspace, to hand it to the router that keeps it.
+    /// Deducts the surplus of a workspace, to return it to the allocator.
     pub fn begin_return(
         &mut self,
         now: ClockTime,
@@ -95,70 +99,72 @@
             Some(TokenTransfer::GiveBack(tokens)) if !account.uses_ledger() => {
                 account.free = account.free.saturating_sub(tokens);
                 account.returning += tokens;
-                let used = account.untold;
+                let used = account.unreported_use;
                 Some(LoanReturn { tokens, used })
             }
             _ => None,
         }
     }
 
-    /// The router that keeps the workspace has what was handed to it.
-    pub fn finish_return(&mut self, workspace: &WorkspaceName, handed: LoanReturn) {
+    /// Completes a return that the allocator has accepted.
+    pub fn finish_return(&mut self, workspace: &WorkspaceName, loan_return: LoanReturn) {
         if let Some(account) = self.accounts.get_mut(workspace) {
-            account.returning -= handed.tokens;
-            account.note_untold(-handed.used);
+            account.returning -= loan_return.tokens;
+            account.add_unreported_use(-loan_return.used);
         }
     }
 
-    /// Nobody knows whether the other router has what was handed to it: it is lost here.
-    pub fn lose_return(&mut self, workspace: &WorkspaceName, handed: LoanReturn) {
+    /// Ends a return whose outcome is unknown. The tokens are treated as lost, as the other router
+    /// may have them.
+    pub fn lose_return(&mut self, workspace: &WorkspaceName, loan_return: LoanReturn) {
         if let Some(account) = self.accounts.get_mut(workspace) {
-            account.returning -= handed.tokens;
+            account.returning -= loan_return.tokens;
         }
     }
 
-    /// What was to be handed over was surely not taken, and is held here again.
-    pub fn undo_return(&mut self, workspace: &WorkspaceName, handed: LoanReturn) {
+    /// Cancels a return that the other router certainly did not accept; the tokens are held here
+    /// again.
+    pub fn undo_return(&mut self, workspace: &WorkspaceName, loan_return: LoanReturn) {
         if let Some(account) = self.accounts.get_mut(workspace) {
-            account.returning -= handed.tokens;
-            account.free += handed.tokens;
+            account.returning -= loan_return.tokens;
+            account.free += loan_return.tokens;
         }
     }
 
-    /// Takes over what a borrower hands back; tells whether it does. A router that is ending refuses: what
-    /// it holds itself has to be in the ledger in time.
+    /// Accepts tokens that a borrower returns; returns whether it did. A router that is shutting
+    /// down refuses, as its own tokens must reach the ledger in time.
     pub fn take_back(
         &mut self,
         now: ClockTime,
         workspace: &WorkspaceName,
-        handed: LoanReturn,
+        loan_return: LoanReturn,
     ) -> bool {
         let account = self.accounts.get_mut(workspace);
         let account = account.filter(|account| account.prepaid.is_some() && !account.is_closing);
         let Some(account) = account else {
             return false;
         };
-        account.free += handed.tokens;
-        account.note_use(now, handed.used as f64);
+        account.free += loan_return.tokens;
+        account.record_use(now, loan_return.used as f64);
         true
     }
 
-    /// Notes what all routers took of a total, as the router that keeps the workspace has seen it.
-    pub fn note_taken(&mut self, workspace: &WorkspaceName, taken: u64) {
+    /// Records the tokens of a total taken by all routers, as sent by the allocator.
+    pub fn record_taken(&mut self, workspace: &WorkspaceName, taken: u64) {
         if let Some(account) = self.accounts.get_mut(workspace) {
-            account.note_taken(taken, &self.options);
+            account.record_taken(taken, &self.options);
         }
     }
 
-    /// What all routers took of a total, as this one has seen it.
+    /// Returns the tokens of a total taken by all routers, as known here.
     pub fn taken_of(&self, workspace: &WorkspaceName) -> Option<u64> {
         self.accounts.get(workspace)?.taken()
     }
 
-    /// Notes a keeper's word that the total does not cover `tokens`.
-    pub fn note_exhausted(&mut self, now: ClockTime, workspace: &WorkspaceName, tokens: u64) {
+    /// Records an allocator's report that the total does not cover `tokens`.
+    pub fn record_exhausted(&mut self, now: ClockTime, workspace: &WorkspaceName, tokens: u64) {
         if let Some(account) = self.accounts.get_mut(workspace) {
-            account.note_exhausted(now, tokens);
+            account.record_exhausted(now, tokens);
         }
     }
 }
--- a/crates/beechsaddle-core/src/gateway/escrow_options.rs
+++ b/crates/beechsaddle-core/src/gateway/escrow_options.rs
@@ -1,58 +1,64 @@
-//! The `escrow_options` module provides how an escrow trades idle tokens against outages.
+//! The `escrow_options` module provides the options that trade idle tokens against service during
+//! outages.
 
-/// How the escrow trades tokens held idle against serving while the ledger cannot be written.
+/// Options that trade tokens held idle against service while the ledger cannot be written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EscrowOptions {
-    /// Seconds of its domain's demand that a router holds of the workspaces that it keeps: an outage
-    /// of this length refuses nobody, and a kill loses as much.
+    /// Seconds of its domain's demand that an allocator holds of a workspace. An outage of this
+    /// length refuses no call, and a killed router loses this much.
     pub hold_s: f64,
-    /// Seconds of its domain's demand that a keeper may use at any time; what it holds beyond that is deferred. More
-    /// than `defer_ms`, or calls are refused in an outage before what is deferred may be used.
+    /// Seconds of its domain's demand that an allocator may use at any time; tokens beyond that are
+    /// deferred. It must exceed `defer_ms`, or calls are refused in an outage before deferred
+    /// tokens become usable.
     pub open_s: f64,
-    /// How long after its last write a keeper uses what it deferred, in milliseconds; 0 defers nothing. A process that
-    /// follows it sooner gives those tokens back, in place of their loss.
+    /// How long after its last write an allocator uses its deferred tokens, in milliseconds; 0
+    /// defers none. A successor process that starts sooner returns these tokens, which are lost
+    /// otherwise.
     pub defer_ms: u64,
-    /// Seconds of its own demand that a router borrows ahead from the one that keeps a workspace. What
-    /// borrowers hold is split among dozens of routers and covers few whole calls in an outage.
+    /// Seconds of its own demand that a router borrows in advance from the allocator. The stock of
+    /// borrowers is split among dozens of routers and covers few complete calls in an outage.
     pub borrow_s: f64,
-    /// Below which part of what is wanted more is taken. An outage begins anywhere between two writes, so
-    /// callers can rely on this part of `hold_s` alone; the rest is only lost with the router.
+    /// The part of the wanted amount below which more is taken. An outage may begin at any point
+    /// between two writes, so callers can rely on this part of `hold_s` only; the remainder only
+    /// adds to the loss when a router is killed.
     pub refill_part: f64,
-    /// The most that keepers hold, as a multiple of an equal part of what is not spent. Above 1, as the callers
-    /// of a workspace are mostly in few domains; keepers whose callers need less hold less.
-    pub most_part: f64,
-    /// The most that one router holds, as a part of what is not spent: a kill loses no more, however small
-    /// the fleet is.
-    pub most_alone: f64,
-    /// The part of the prepaid total that may die with routers. The more of it is lost already, the less is
-    /// held ahead, so that any number of deaths refuses callers little more than this part of what they paid
-    /// for.
+    /// The most that allocators hold, as a multiple of an equal part of the unspent tokens. Above
+    /// 1, as the callers of a workspace are mostly in few domains; allocators whose callers need
+    /// less hold less.
+    pub max_part: f64,
+    /// The most that one router holds, as a part of the unspent tokens. It bounds the loss of a
+    /// killed router, however small the fleet is.
+    pub max_single_part: f64,
+    /// The part of the prepaid total that may be lost with terminated routers. The more of it is
+    /// lost already, the less is held in advance, so that any number of losses costs callers little
+    /// more than this part of their total.
     pub lost_part: f64,
-    /// Seconds of its demand that a keeper holds however much is lost. With less nearly every call would wait
-    /// for a write of the ledger.
+    /// Seconds of its demand that an allocator holds however much was lost. With less, nearly every
+    /// call would wait for a ledger write.
     pub least_s: f64,
-    /// What a keeper holds before demand is known, as a multiple of an equal part: the first callers are served
-    /// when the ledger is out of reach.
+    /// The amount that an allocator holds before demand is known, as a multiple of an equal part.
+    /// It serves the first callers while the ledger is unreachable.
     pub first_part: f64,
-    /// The part of the prepaid total after whose use demand is known, and a keeper holds what its domain's callers
-    /// use. Until then `first_part` falls evenly.
+    /// The used part of the prepaid total from which demand counts as known, so that an allocator
+    /// holds only what its domain's callers use. Up to that, `first_part` decreases linearly.
     pub known_part: f64,
-    /// The part of the prepaid total below which routers hold less and look more often.
+    /// The part of the prepaid total below which routers hold less and read the ledger more often.
     pub scarce_part: f64,
-    /// The last part of the prepaid total, of which nothing is held in advance: whoever needs it
+    /// The last part of the prepaid total, none of which is held in advance, so that any router
     /// finds it in the ledger.
     pub last_part: f64,
-    /// The part of the prepaid total that keepers may leave idle with all routers of the fleet, because giving
-    /// back each one's share of it is not worth a write.
+    /// The part of the prepaid total that allocators may leave idle with all routers of the fleet,
+    /// because returning each router's share is not worth a write.
     pub slack_part: f64,
-    /// The same where little is left, and of what borrowers hold: no more of a total than this is out of
-    /// callers' reach because it lies in small rests.
+    /// The same when little is left, and for the tokens of borrowers. No more of a total than this
+    /// is unavailable to callers because it is split into small remainders.
     pub slack_scarce: f64,
-    /// From which multiple of what is wanted a surplus is given back: a burst's rest that stays at a router is
-    /// lost with it, and one that goes back too soon is asked for again by the next calls.
+    /// The multiple of the wanted amount from which a surplus is returned. The surplus of a burst
+    /// that stays at a router is lost with it, and one returned too soon is requested again by the
+    /// next calls.
     pub give_back_at: f64,
-    /// How long a request must not have fitted before it is refused for good, in milliseconds. Until
-    /// then others may give back enough.
+    /// How long a request must not have fitted before it is refused for good, in milliseconds.
+    /// Until then other routers may return enough.
     pub give_back_ms: u64,
 }
 
@@ -64,8 +70,8 @@
             defer_ms: 4_500,
             borrow_s: 0.1,
             refill_part: 0.85,
-            most_part: 2.5,
-            most_alone: 0.5,
+            max_part: 2.5,
+            max_single_part: 0.5,
             lost_part: 0.06,
             least_s: 1.0,
             first_part: 0.12,
--- a/crates/beechsaddle-core/src/gateway/gateway_status.rs
+++ b/crates/beechsaddle-core/src/gateway/gateway_status.rs
@@ -1,4 +1,4 @@
-//! The `gateway_status` module provides what a gateway tells operators that it believes now.
+//! The `gateway_status` module provides the state that a gateway reports to operators.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,85 +6,79 @@
     DomainName, HostName, RouterIncarnation, ServiceName, TargetName, WorkspaceName,
 };
 
-/// What a gateway believes now. Ages are in milliseconds.
+/// The state as known to one gateway. Ages are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GatewayStatus {
     /// The router.
     pub gateway: RouterIncarnation,
-    /// Its domain.
+    /// Its failure domain.
     pub domain: DomainName,
     /// `serving`, `leaving` or `closing`.
     pub phase: String,
-    /// Calls that are running.
+    /// Calls in progress.
     pub open_calls: u64,
-    /// How long ago the store last answered anything.
+    /// The time since the store last answered any request.
     pub store_age_ms: u64,
-    /// The configuration in force; `None` before the first.
+    /// The active configuration; `None` before the first.
     pub config: Option<ConfigStatus>,
-    /// How many routers share the retry budget; 0 while that is not known.
+    /// How many routers share the retry budget; 0 until that is known.
     pub routers: u64,
-    /// Other routers.
+    /// The other routers.
     pub peers: Vec<GatewayPeerStatus>,
-    /// Workspaces whose totals are counted.
+    /// Workspaces with a prepaid total.
     pub workspaces: Vec<WorkspaceStatus>,
-    /// Targets.
     pub targets: Vec<GatewayTargetStatus>,
 }
 
-/// The configuration in force.
+/// The active configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigStatus {
-    /// Its version.
     pub version: u64,
-    /// How long it has been in force here.
+    /// How long it has been active on this router.
     pub age_ms: u64,
-    /// How many routes it has.
+    /// The number of its routes.
     pub routes: u64,
 }
 
 /// Another router.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GatewayPeerStatus {
-    /// Its host.
     pub host: HostName,
-    /// Its domain.
     pub domain: DomainName,
-    /// For how long it is passed over yet because it did not answer; 0 for one that is asked.
+    /// The remaining time for which the router is not contacted because it did not answer; 0 if it
+    /// is in use.
     pub down_for_ms: u64,
 }
 
-/// A workspace's tokens, as this router sees them.
+/// A workspace's tokens, as known to this router.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceStatus {
-    /// The workspace.
     pub workspace: WorkspaceName,
-    /// `keeper` or `borrower`.
+    /// The router's role: "keeper" (the allocator of its domain) or "borrower".
     pub role: String,
-    /// Held and not promised.
+    /// Held and not reserved.
     pub free: u64,
-    /// Promised to calls that run.
+    /// Reserved for running calls.
     pub reserved: u64,
-    /// Taken by nobody, as the ledger was last seen.
+    /// Taken by no router, as the ledger was last read.
     pub left: Option<u64>,
-    /// How long ago the ledger was seen.
+    /// The age of the ledger.
     pub ledger_age_ms: Option<u64>,
 }
 
-/// A target, as this router sees it.
+/// A target, as known to this router.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GatewayTargetStatus {
-    /// The target.
     pub target: TargetName,
-    /// Its service.
     pub service: ServiceName,
-    /// `ready`, `draining`, or `unlisted` for one whose entry is missing since an outage.
+    /// `ready`, `draining`, or `unlisted` if its entry has been missing since an outage.
     pub phase: String,
-    /// Attempts of this router that run there.
+    /// Attempts of this router that run on it.
     pub active: u64,
-    /// For how long it gets no work yet; 0 for one in use.
+    /// The remaining time of its ejection; 0 if it is in use.
     pub ejected_for_ms: u64,
     /// The share of recent attempts that failed, 0 to 1.
     pub failure_share: f64,
-    /// How long ago anything came from it, or it was listed.
+    /// The time since the last response from the target, or since it was listed.
     pub heard_age_ms: u64,
 }
--- a/crates/beechsaddle-core/src/gateway/mod.rs
+++ b/crates/beechsaddle-core/src/gateway/mod.rs
@@ -1,13 +1,15 @@
-//! The `gateway` module provides the decisions of a router that serves routes: which rule a call
-//! falls under, which target it goes to, how often it is tried, and what it may spend.
+//! The `gateway` module provides the decisions of a router that serves routes: which rule applies
+//! to a call, which target receives it, how often it is retried, and how many tokens it may spend.
 //!
-//! Nothing here does input or output. Each type takes the time and what an edge saw, and answers
-//! with a decision and the facts that led to it, so that tests replay any order of events.
+//! Nothing here performs I/O. Each type takes the time and the observations of an edge, and returns
+//! a decision with the facts behind it, so that tests can replay any order of events.
 
 mod budget_ledger;
 mod caller_limits;
-mod crash_book;
-mod crash_sighting;
+mod change_log;
+mod change_source;
+mod crash_registry;
+mod crash_report;
 mod crash_suspect;
 mod deferred_change;
 mod demand_peak;
@@ -19,13 +21,11 @@
 mod fleet_clock;
 mod gateway_config;
 mod gateway_status;
-mod limit_share;
 mod link_meter;
-mod loan_pauses;
-mod news_log;
-mod news_source;
+mod loan_backoff;
 mod outlier_score;
 mod peer_ring;
+mod permit_issuer;
 mod policy_options;
 mod prompt_shape;
 mod repeat_rule;
@@ -34,18 +34,20 @@
 mod rotation_gate;
 mod route_rule;
 mod target_chooser;
-mod target_gauge;
 mod target_limit;
 mod target_record;
 mod target_roster;
+mod target_stats;
 mod token_escrow;
 mod token_loan;
 mod transfer_plan;
 
-pub use budget_ledger::{BudgetLedger, DeferredCover, LedgerChange, TokenTransfer};
+pub use budget_ledger::{BudgetLedger, DeferredReserve, LedgerChange, TokenTransfer};
 pub use caller_limits::CallerLimits;
-pub use crash_book::{CrashBook, CrashVerdict};
-pub use crash_sighting::{CrashFacts, CrashSighting, TargetIncarnation};
+pub use change_log::{ChangeBatch, ChangeLog, ChangeReply};
+pub use change_source::{ChangeSource, FollowFailure, SourceSelector};
+pub use crash_registry::{CrashRegistry, CrashVerdict};
+pub use crash_report::{CrashFacts, CrashReport, TargetIncarnation};
 pub use demand_rate::DemandRate;
 pub use escrow_facts::{EscrowFacts, EscrowRole};
 pub use escrow_options::EscrowOptions;
@@ -54,13 +56,11 @@
 pub use gateway_status::{
     ConfigStatus, GatewayPeerStatus, GatewayStatus, GatewayTargetStatus, WorkspaceStatus,
 };
-pub use limit_share::{LimitShare, ShareRank, ShareReply};
-pub use link_meter::{LinkMeter, LinkWay};
-pub use loan_pauses::LoanPauses;
-pub use news_log::{NewsBatch, NewsLog, NewsReply};
-pub use news_source::{FollowDoubt, NewsChoice, NewsSource};
+pub use link_meter::{LinkDirection, LinkMeter};
+pub use loan_backoff::LoanBackoff;
 pub use outlier_score::OutlierScore;
 pub use peer_ring::{PeerRecord, PeerRing};
+pub use permit_issuer::{IssuerRank, PermitIssuer, PermitReply};
 pub use policy_options::PolicyOptions;
 pub use prompt_shape::{PromptPart, PromptShape, TokenBound};
 pub use repeat_rule::{AttemptEnd, AttemptHistory};
@@ -69,9 +69,9 @@
 pub use rotation_gate::RotationGate;
 pub use route_rule::{RouteKind, RouteRule, WeightedService};
 pub use target_chooser::{ChoiceInput, TargetChoice, choose_target};
-pub use target_gauge::{AttemptLoad, TargetGauge};
-pub use target_limit::{LimitGauge, TargetLimit};
+pub use target_limit::{LimitState, TargetLimit};
 pub use target_record::{TargetPhase, TargetRecord};
 pub use target_roster::{RosterChange, RosterEntry, TargetRoster};
+pub use target_stats::{AttemptLoad, TargetStats};
 pub use token_escrow::{ReserveOutcome, TokenEscrow};
 pub use token_loan::{LoanReply, LoanRequest, LoanReturn};
--- a/crates/beechsaddle-core/src/gateway/outlier_score.rs
+++ b/crates/beechsaddle-core/src/gateway/outlier_score.rs
@@ -3,13 +3,14 @@
 use super::DemandRate;
 use crate::clock::ClockTime;
 
-/// How fast failures are forgotten: a target that recovers is back in use within seconds.
+/// Half-life of failures, in milliseconds: a target that recovers is back in use within seconds.
 const HALF_LIFE_MS: u64 = 4_000;
 
-/// Attempts that are assumed to have gone well, so that one failure of a quiet target says little.
+/// Number of assumed successes, so that a single failure of a target with little traffic has little
+/// weight.
 const ASSUMED_SUCCESSES: f64 = 3.0;
 
-/// Recent failures of one target.
+/// The recent failure rate of one target.
 #[derive(Clone, Copy, Debug)]
 pub struct OutlierScore {
     attempts: DemandRate,
@@ -17,7 +18,7 @@
 }
 
 impl OutlierScore {
-    /// A score without failures.
+    /// Creates a score without failures.
     pub fn new(now: ClockTime) -> Self {
         OutlierScore {
             attempts: DemandRate::new(HALF_LIFE_MS, now),
@@ -25,15 +26,15 @@
         }
     }
 
-    /// Notes the end of an attempt.
-    pub fn note(&mut self, now: ClockTime, is_failure: bool) {
+    /// Records the end of an attempt.
+    pub fn record(&mut self, now: ClockTime, is_failure: bool) {
         self.attempts.add(now, 1.0);
         if is_failure {
             self.failures.add(now, 1.0);
         }
     }
 
-    /// The share of recent attempts that failed, from 0 to 1.
+    /// Returns the share of recent attempts that failed, from 0 to 1.
     pub fn failure_share(&self, now: ClockTime) -> f64 {
         let attempts = self.attempts.level_at(now) + ASSUMED_SUCCESSES;
         self.failures.level_at(now) / attempts
--- a/crates/beechsaddle-core/src/gateway/policy_options.rs
+++ b/crates/beechsaddle-core/src/gateway/policy_options.rs
@@ -1,14 +1,15 @@
-//! The `policy_options` module provides switches for the ways in which a router decides.
+//! The `policy_options` module provides switches for routing policies.
 
-/// Switches for the ways in which a router decides. All are on by default; operators switch one off to
-/// see what it is worth to their callers.
+/// Switches for routing policies. All are on by default; operators can switch one off to measure
+/// its benefit to their callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PolicyOptions {
-    /// Whether streams that run once stay in the caller's domain if they can.
+    /// Whether streams that run once stay in the caller's domain if possible.
     pub keeps_single_runs_near: bool,
-    /// Whether an engine gets shared parts of a prompt from another one instead of reading them again.
+    /// Whether an engine fetches shared parts of a prompt from another engine instead of processing
+    /// them again.
     pub fetches_parts: bool,
-    /// Whether a router whose own link is full leaves the rotation for a while.
+    /// Whether a router whose own link is full leaves the load balancer's rotation for a time.
     pub leaves_full_link: bool,
 }
 
--- a/crates/beechsaddle-core/src/gateway/prompt_shape.rs
+++ b/crates/beechsaddle-core/src/gateway/prompt_shape.rs
@@ -1,6 +1,6 @@
-//! The `prompt_shape` module provides what a request says of its prompt and its size.
+//! The `prompt_shape` module provides the parts and token bounds of a request's prompt.
 
-/// The most that a request may use, in tokens.
+/// The most tokens that a request may use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenBound {
     /// Tokens of the prompt.
@@ -10,42 +10,42 @@
 }
 
 impl TokenBound {
-    /// The most that the request may use in all.
+    /// Returns the sum of both bounds.
     pub fn total(self) -> u64 {
         self.input.saturating_add(self.output_max)
     }
 }
 
-/// One part of a prompt. Engines keep the parts of earlier prompts in memory.
+/// One part of a prompt. Engines cache the parts of earlier prompts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its id; equal ids are equal text.
+    /// Its id; parts with equal ids have equal text.
     pub id: String,
     /// Its length in tokens.
     pub tokens: u64,
 }
 
-/// The parts of a prompt in order. The last is the request's own.
+/// The parts of a prompt in order. The last one is the request's own.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptShape {
-    /// The parts.
     pub parts: Vec<PromptPart>,
 }
 
 impl PromptShape {
-    /// The id that requests with the same leading parts share: that of the last part but one.
+    /// Returns the id that requests with the same leading parts share: that of the last part but
+    /// one.
     pub fn shared_id(&self) -> Option<&str> {
         let shared = self.parts.len().checked_sub(2)?;
         self.parts.get(shared).map(|part| part.id.as_str())
     }
 
-    /// Tokens in the parts that other requests may share.
+    /// Returns the tokens of the parts that other requests may share.
     pub fn shared_tokens(&self) -> u64 {
         let shared = self.parts.len().saturating_sub(1);
         self.parts[..shared].iter().map(|part| part.tokens).sum()
     }
 
-    /// Tokens in the request's own part.
+    /// Returns the tokens of the request's own part.
     pub fn own_tokens(&self) -> u64 {
         self.parts.last().map_or(0, |part| part.tokens)
     }
--- a/crates/beechsaddle-core/src/gateway/repeat_rule.rs
+++ b/crates/beechsaddle-core/src/gateway/repeat_rule.rs
@@ -1,25 +1,25 @@
-//! The `repeat_rule` module provides whether a request may be sent once more, and what its final
-//! answer may promise.
+//! The `repeat_rule` module provides the rules for retrying a request after attempts without a
+//! usable answer.
 
 use super::RouteKind;
 
-/// How an attempt ended that brought no usable answer.
+/// The end of an attempt that returned no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptEnd {
     /// No connection was made; nothing of the request was sent.
     Unsent,
-    /// The target said that it did not run the request, and never will.
+    /// The target reported that it did not run the request, and never will.
     NotRun,
-    /// The target answered that it failed.
+    /// The target reported a failure.
     Failed,
-    /// The connection broke, or what came was no answer to this request.
+    /// The connection broke, or the answer did not match the request.
     Broken,
-    /// Nothing came for too long.
+    /// Nothing was received for too long.
     Silent,
 }
 
 impl AttemptEnd {
-    /// Whether the request may have run, or may yet run.
+    /// Whether the request may have run, or may still run.
     pub fn may_have_run(self) -> bool {
         match self {
             AttemptEnd::Unsent | AttemptEnd::NotRun => false,
@@ -32,7 +32,7 @@
         self != AttemptEnd::Unsent
     }
 
-    /// A word for logs and counters.
+    /// Returns the name of the end in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
             AttemptEnd::Unsent => "unsent",
@@ -52,11 +52,11 @@
     may_have_run: bool,
 }
 
-/// Connections that are tried for one request. Each failed one may take a connect timeout.
+/// Number of failed connections that are allowed for one request. Each may take a connect time-out.
 const UNSENT_MAX: u32 = 4;
 
 impl AttemptHistory {
-    /// Notes the end of an attempt.
+    /// Records the end of an attempt.
     pub fn note(&mut self, end: AttemptEnd) {
         match end.is_arrival() {
             true => self.sent += 1,
@@ -65,7 +65,7 @@
         self.may_have_run |= end.may_have_run();
     }
 
-    /// How many targets the request was sent to.
+    /// Returns the number of targets that the request was sent to.
     pub fn sent(&self) -> u32 {
         self.sent
     }
@@ -75,10 +75,10 @@
         self.may_have_run
     }
 
-    /// Whether the rules allow one more attempt, before the retry budget is asked.
+    /// Whether the rules allow another attempt, before the retry budget is checked.
     ///
-    /// A request that may run once only and may have run is never sent again: the caller learns
-    /// that the outcome is unknown. This needs no record anywhere, since one attempt of a caller is
+    /// A request that may run only once and may have run is never sent again: the caller learns
+    /// that the outcome is unknown. This needs no stored record, since one attempt of a caller is
     /// one request on one connection of one router.
     pub fn allows_another(&self, kind: RouteKind, attempts_max: u32) -> bool {
         let is_safe = kind.may_repeat() || !self.may_have_run;
--- a/crates/beechsaddle-core/src/gateway/retry_share.rs
+++ b/crates/beechsaddle-core/src/gateway/retry_share.rs
@@ -1,37 +1,38 @@
-//! The `retry_share` module provides this router's part of the fleet's retry budget.
+//! The `retry_share` module provides one router's share of the fleet's retry budget.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::clock::ClockTime;
 use crate::names::ServiceName;
 
-/// How finely time is counted, in milliseconds. A window is longer by one step than asked for.
+/// The resolution of the window, in milliseconds. A window may be one step longer than configured.
 const STEP_MS: u64 = 250;
 
-/// The part of the ratio that is used. The rest covers requests that the fleet counts elsewhere, as
-/// those of a caller that hung up before its head was read.
+/// The part of the ratio that is used. The remainder covers requests that the fleet counts
+/// differently, such as those of a caller that disconnected before its head was read.
 const RATIO_PART: f64 = 0.85;
 
-/// The part of the fixed allowance that is used, for routers that joined a moment ago and are not
-/// counted yet.
+/// The part of the fixed allowance that is used. The remainder covers routers that have just joined
+/// and are not counted yet.
 const ALLOWANCE_PART: f64 = 0.7;
 
-/// The fleet's retry budget, as the operator sets it.
+/// The fleet's retry budget, as set by the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryShareOptions {
-    /// Repeated attempts for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeated attempts of the whole fleet in a window, beside the ratio.
+    /// Retries of the whole fleet in a window, in addition to the ratio.
     pub allowance: f64,
     /// The length of the window, in milliseconds.
     pub window_ms: u64,
 }
 
-/// Decides whether a request may be sent once more.
+/// Decides whether a request may be sent again.
 ///
-/// When targets fail, each request brings another attempt, and the load that broke a service
-/// doubles. The budget is the whole fleet's; each router keeps to the ratio of its own requests and
-/// to an equal part of the allowance, which adds up to less than the whole without any talk.
+/// When targets fail, each request causes another attempt, which doubles the load on a failing
+/// service. The budget applies to the whole fleet; each router applies the ratio to its own
+/// requests and takes an equal part of the allowance, which adds up to less than the budget without
+/// communication.
 #[derive(Clone, Debug)]
 pub struct RetryShare {
     options: RetryShareOptions,
@@ -52,7 +53,7 @@
 }
 
 impl RetryShare {
-    /// A share for a fleet whose size is not known yet: only the ratio is used.
+    /// Creates a share for a fleet of unknown size, which uses only the ratio.
     pub fn new(options: RetryShareOptions) -> Self {
         RetryShare {
             options,
@@ -61,22 +62,21 @@
         }
     }
 
-    /// Takes over changed options.
     pub fn set_options(&mut self, options: RetryShareOptions) {
         self.options = options;
     }
 
-    /// Takes over how many routers share the budget.
+    /// Sets the number of routers that share the budget.
     pub fn set_routers(&mut self, routers: u64) {
         self.routers = routers;
     }
 
-    /// Notes a request of a caller.
-    pub fn note_request(&mut self, now: ClockTime, service: &ServiceName) {
+    /// Records a request of a caller.
+    pub fn record_request(&mut self, now: ClockTime, service: &ServiceName) {
         self.step(now, service).requests += 1;
     }
 
-    /// Whether one more attempt fits now; it is counted if so.
+    /// Whether another attempt fits the budget now; it is counted if so.
     pub fn try_repeat(&mut self, now: ClockTime, service: &ServiceName) -> bool {
         let ratio = self.options.ratio * RATIO_PART;
         let allowance = match self.routers {
--- a/crates/beechsaddle-core/src/gateway/route_rule.rs
+++ b/crates/beechsaddle-core/src/gateway/route_rule.rs
@@ -1,9 +1,9 @@
-//! The `route_rule` module provides one route: which requests it takes and how they are served.
+//! The `route_rule` module provides the declaration of a route.
 
 use crate::hash::stable_hash;
 use crate::names::{RouteName, ServiceName};
 
-/// What may be done more than once for one request.
+/// The retry semantics of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// The request is idempotent and may run several times.
@@ -12,8 +12,8 @@
     NotRepeatable,
     /// The answer is a stream of numbered events.
     Stream {
-        /// Whether another target may go on after the last event that was delivered. A stream
-        /// without this runs at most once.
+        /// Whether another target may continue after the last delivered event. A stream without
+        /// this runs at most once.
         is_resumable: bool,
     },
 }
@@ -39,43 +39,43 @@
 /// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService {
-    /// The service.
     pub service: ServiceName,
-    /// Its share, against the sum of the route's weights.
+    /// Its share, relative to the sum of the route's weights.
     pub weight: u64,
 }
 
-/// One route.
+/// The declaration of a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteRule {
-    /// Its name, for logs.
+    /// Its name in logs.
     pub name: RouteName,
-    /// The host of the requests that it takes, in lower case.
+    /// The host name of matching requests, in lower case.
     pub host: String,
-    /// What the path of these requests begins with.
+    /// The path prefix of matching requests.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// The retry semantics.
     pub kind: RouteKind,
     /// The services that requests are split over; at least one.
     pub services: Vec<WeightedService>,
     /// The longest time until the final answer, in milliseconds.
     pub timeout_ms: u64,
-    /// The time in which an answer, or a stream's first event, is on time, in milliseconds.
+    /// The time within which an answer, or the first event of a stream, counts as on time, in
+    /// milliseconds.
     pub objective_ms: u64,
-    /// The longest pause between two events of a stream that is on time, in milliseconds; `None`
-    /// where any is.
+    /// The longest pause between two events of a stream that counts as on time, in milliseconds;
+    /// `None` if any does.
     pub pause_ms: Option<u64>,
     /// The largest number of targets that one request is sent to.
     pub attempts_max: u32,
-    /// The rank of its requests; 0 goes first.
+    /// The priority of its requests; 0 is served first.
     pub priority: u8,
     /// Whether requests need no key.
     pub is_open: bool,
 }
 
 impl RouteRule {
-    /// The service for a request. One request id always gives the same one, so that a repeated
-    /// attempt does not jump between services.
+    /// Returns the service for a request. The same request id always gives the same service, so
+    /// that retries do not switch between services.
     pub fn service_for(&self, request_id: &str) -> Option<&ServiceName> {
         let total: u64 = self.services.iter().map(|entry| entry.weight).sum();
         if total == 0 {
--- a/crates/beechsaddle-core/src/gateway/target_limit.rs
+++ b/crates/beechsaddle-core/src/gateway/target_limit.rs
@@ -1,91 +1,92 @@
-//! The `target_limit` module provides what one router knows of a target's limit on requests.
+//! The `target_limit` module provides one router's state of a target's rate limit.
 
 use crate::clock::ClockTime;
 
-/// How many requests a second a target takes from all routers together, as its newest answer says.
+/// The rate of requests that a target accepts from all routers together, by its newest answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TargetLimit {
-    /// Requests a second; `None` where the answer names no limit.
+    /// Requests per second; `None` if the answer names no limit.
     pub per_s: Option<f64>,
-    /// When the answer came.
-    pub heard_at: ClockTime,
+    /// When the answer was received.
+    pub received_at: ClockTime,
 }
 
-/// The least pause after a refused place, in milliseconds.
-const LEAST_PAUSE_MS: u64 = 50;
+/// The shortest pause after a refused permit, in milliseconds.
+const PAUSE_MIN_MS: u64 = 50;
 
-/// The longest pause after a refused place, in milliseconds: the end of a limit is noticed within this by a
-/// router that has requests for the target.
-const LONGEST_PAUSE_MS: u64 = 4_000;
+/// The longest pause after a refused permit, in milliseconds. A router that has requests for the
+/// target notices the end of a limit within this time.
+const PAUSE_MAX_MS: u64 = 4_000;
 
-/// How often the pause doubles while no place is granted. Hundreds of routers that ask for one request a second would
-/// ask a thousand times otherwise.
+/// The number of times that the pause doubles while no permit is granted. Otherwise hundreds of
+/// routers that share one request per second would ask a thousand times.
 const DOUBLINGS_MAX: u32 = 3;
 
-/// A target's limit as one router sees it.
+/// A target's limit as known to one router.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LimitGauge {
+pub struct LimitState {
     limit: Option<TargetLimit>,
     paused_until: ClockTime,
     refusals: u32,
 }
 
-impl LimitGauge {
-    /// Takes over what an answer says; tells whether the limit is another one now.
+impl LimitState {
+    /// Records the limit in an answer; returns whether the limit has changed.
     ///
-    /// An answer without a limit ends one only if its request was sent after the limit was heard of: answers on
-    /// several connections overtake each other.
-    pub fn note(&mut self, now: ClockTime, per_s: Option<f64>, sent_at: ClockTime) -> bool {
+    /// An answer without a limit ends a limit only if its request was sent after the limit was
+    /// received, as answers on several connections may be reordered.
+    pub fn record(&mut self, now: ClockTime, per_s: Option<f64>, sent_at: ClockTime) -> bool {
         let known = self.limit.and_then(|limit| limit.per_s);
-        let is_overtaken = self.limit.is_some_and(|limit| sent_at < limit.heard_at);
-        if per_s.is_none() && (self.limit.is_none() || is_overtaken) {
+        let is_reordered = self.limit.is_some_and(|limit| sent_at < limit.received_at);
+        if per_s.is_none() && (self.limit.is_none() || is_reordered) {
             return false;
         }
         self.take(TargetLimit {
             per_s,
-            heard_at: now,
+            received_at: now,
         });
         known != per_s
     }
 
-    /// Takes over what another router heard, if that is newer.
+    /// Updates the limit with one that another router received, if that is newer.
     pub fn take(&mut self, limit: TargetLimit) {
         if self
             .limit
-            .is_some_and(|known| known.heard_at > limit.heard_at)
+            .is_some_and(|known| known.received_at > limit.received_at)
         {
             return;
         }
         self.limit = Some(limit);
         if limit.per_s.is_none() {
-            self.note_granted();
+            self.record_granted();
         }
     }
 
-    /// What was heard last, also where that is the end of a limit; `None` where no limit was ever heard of.
-    pub fn heard(&self) -> Option<TargetLimit> {
+    /// Returns what was last received, including the end of a limit; `None` if no limit was ever
+    /// received.
+    pub fn last_received(&self) -> Option<TargetLimit> {
         self.limit
     }
 
-    /// The limit that is in force.
+    /// Returns the active limit.
     pub fn in_force(&self) -> Option<TargetLimit> {
         self.limit.filter(|limit| limit.per_s.is_some())
     }
 
-    /// Notes that the target took what it may from this router.
-    pub fn note_granted(&mut self) {
+    /// Records that the target may be sent a request, which ends the pause.
+    pub fn record_granted(&mut self) {
         self.refusals = 0;
         self.paused_until = ClockTime::ZERO;
     }
 
-    /// Notes that there is no place before `wait_ms` are over.
-    pub fn note_refused(&mut self, now: ClockTime, wait_ms: u64) {
-        let pause_ms = wait_ms.max(LEAST_PAUSE_MS) << self.refusals;
-        self.paused_until = now.plus_ms(pause_ms.min(LONGEST_PAUSE_MS));
+    /// Records that no permit is available before `wait_ms` have passed.
+    pub fn record_refused(&mut self, now: ClockTime, wait_ms: u64) {
+        let pause_ms = wait_ms.max(PAUSE_MIN_MS) << self.refusals;
+        self.paused_until = now.plus_ms(pause_ms.min(PAUSE_MAX_MS));
         self.refusals = (self.refusals + 1).min(DOUBLINGS_MAX);
     }
 
-    /// For how long this router sends the target nothing, in milliseconds.
+    /// Returns how long this router sends the target nothing, in milliseconds.
     pub fn paused_for_ms(&self, now: ClockTime) -> u64 {
         self.paused_until.since(now)
     }
--- a/crates/beechsaddle-core/src/gateway/target_roster.rs
+++ b/crates/beechsaddle-core/src/gateway/target_roster.rs
@@ -1,55 +1,57 @@
-//! The `target_roster` module provides the targets that discovery lists.
+//! The `target_roster` module provides the targets listed by discovery.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use super::{TargetGauge, TargetPhase, TargetRecord};
+use super::{TargetPhase, TargetRecord, TargetStats};
 use crate::clock::ClockTime;
 use crate::names::{ServiceName, TargetName};
 
-/// How long an entry may be missing after the store was away before its target counts as gone, in
-/// milliseconds. Live targets write their entries again within two seconds.
-const RETURN_GRACE_MS: u64 = 2_200;
+/// How long an entry may be missing after a store outage before its target counts as gone, in
+/// milliseconds. Running targets write their entries again within two seconds.
+const RELIST_GRACE_MS: u64 = 2_200;
 
-/// What a listing or an event changed, for logs.
+/// A change of the roster by a listing or an event, for logs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RosterChange {
-    /// A target came up.
+    /// A new target.
     Joined(TargetName),
-    /// A target started again under its id, at this address; nothing of before holds.
+    /// A target restarted under its id; the state of its previous incarnation at this address is
+    /// dropped.
     Restarted(TargetName, SocketAddr),
-    /// A target takes no new work.
+    /// The target accepts no new requests.
     Draining(TargetName),
-    /// A target at this address is gone.
+    /// The target at this address is gone.
     Gone(TargetName, SocketAddr),
-    /// An entry is missing, but the store was away a moment ago.
+    /// The entry is missing, but the store was unavailable a moment ago.
     Unconfirmed(TargetName),
 }
 
 /// One listed target.
 #[derive(Clone, Debug)]
 pub struct RosterEntry {
-    /// What discovery tells.
+    /// The discovery record.
     pub record: TargetRecord,
-    /// What this router sees.
-    pub gauge: TargetGauge,
+    /// This router's statistics of the target.
+    pub stats: TargetStats,
     listed_at: ClockTime,
     missing_since: Option<ClockTime>,
-    doubted: Option<u64>,
+    earlier_start_revision: Option<u64>,
 }
 
 /// All targets that may be in use.
 ///
-/// Entries expire while the store is away, though their targets live: taking every missing entry
-/// for gone would leave a healthy service without targets when the store returns. So an entry that
-/// is missed right after an outage is kept for as long as a live target needs to write it again.
+/// Entries expire during a store outage although their targets run. Treating every missing entry as
+/// gone would leave a healthy service without targets when the store returns. Therefore an entry
+/// that is missing right after an outage is retained for as long as a running target needs to write
+/// it again.
 #[derive(Clone, Debug, Default)]
 pub struct TargetRoster {
     entries: BTreeMap<TargetName, RosterEntry>,
-    away_until: Option<ClockTime>,
+    outage_until: Option<ClockTime>,
 }
 
-/// How an entry relates to the one that is known.
+/// The relation of an entry to the known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EntryAge {
     /// It is older.
@@ -63,57 +65,57 @@
 impl RosterEntry {
     fn new(now: ClockTime, record: TargetRecord) -> Self {
         RosterEntry {
-            gauge: TargetGauge::new(now),
+            stats: TargetStats::new(now),
             record,
             listed_at: now,
             missing_since: None,
-            doubted: None,
+            earlier_start_revision: None,
         }
     }
 
-    /// How an entry relates to this one.
+    /// Returns the relation of an entry to this one.
     ///
-    /// The store's revisions order entries, however late an answer brings them. One write of a process
-    /// that has died can still land behind those of its successor, so an earlier start is believed only
-    /// when it is told a second time: a dead process has one write under way at most, and clocks that
-    /// were set back keep a living one out for one heartbeat, not for good.
+    /// The store's revisions order entries even if answers arrive late. A single write of a dead
+    /// process may still be applied after those of its successor, so an earlier start time is
+    /// accepted only when it is seen a second time: a dead process has at most one write in flight,
+    /// and a running process whose clock was set back is excluded for one heartbeat only.
     fn compare(&mut self, record: &TargetRecord) -> EntryAge {
         if record.revision < self.record.revision {
             return EntryAge::Stale;
         }
         if record.started == self.record.started {
-            self.doubted = None;
+            self.earlier_start_revision = None;
             return EntryAge::Current;
         }
         let is_earlier = record.started < self.record.started;
-        let is_told_again = record.revision > self.record.revision
+        let is_confirmed = record.revision > self.record.revision
             && self
-                .doubted
+                .earlier_start_revision
                 .is_some_and(|revision| revision < record.revision);
-        if is_earlier && !is_told_again {
-            self.doubted.get_or_insert(record.revision);
+        if is_earlier && !is_confirmed {
+            self.earlier_start_revision.get_or_insert(record.revision);
             return EntryAge::Stale;
         }
         EntryAge::Restarted
     }
 
-    /// Takes over what the same incarnation says now.
+    /// Updates the record with a newer entry of the same incarnation.
     fn update(&mut self, record: TargetRecord) -> Option<RosterChange> {
         let was = self.record.phase;
         self.record = record;
         self.missing_since = None;
-        let drains = self.record.phase == TargetPhase::Draining;
-        (was == TargetPhase::Ready && drains)
+        let is_draining = self.record.phase == TargetPhase::Draining;
+        (was == TargetPhase::Ready && is_draining)
             .then(|| RosterChange::Draining(self.record.name.clone()))
     }
 
-    /// Whether the target came up less than `span_ms` ago, as far as this router knows.
+    /// Whether the target was listed less than `span_ms` ago, as far as this router knows.
     pub fn is_new(&self, now: ClockTime, span_ms: u64) -> bool {
         now.since(self.listed_at) < span_ms
     }
 
-    /// A word for what the list says, for operators.
-    pub fn phase_word(&self) -> &'static str {
+    /// Returns the name of the target's phase, for operators.
+    pub fn phase_name(&self) -> &'static str {
         match (self.missing_since, self.record.phase) {
             (Some(_), _) => "unlisted",
             (None, TargetPhase::Ready) => "ready",
@@ -123,12 +125,12 @@
 }
 
 impl TargetRoster {
-    /// Notes that the store did not answer.
-    pub fn note_away(&mut self, now: ClockTime) {
-        self.away_until = Some(now.plus_ms(RETURN_GRACE_MS));
+    /// Records that the store did not answer.
+    pub fn record_outage(&mut self, now: ClockTime) {
+        self.outage_until = Some(now.plus_ms(RELIST_GRACE_MS));
     }
 
-    /// Takes over a whole listing.
+    /// Replaces all targets by a complete listing.
     pub fn take_listing(
         &mut self,
         now: ClockTime,
@@ -154,7 +156,7 @@
         changes
     }
 
-    /// Takes over one entry.
+    /// Applies one entry.
     pub fn put(&mut self, now: ClockTime, record: TargetRecord) -> Option<RosterChange> {
         let name = record.name.clone();
         let Some(entry) = self.entries.get_mut(&name) else {
@@ -173,18 +175,18 @@
         }
     }
 
-    /// Takes a target out of use whose entry cannot be read: it names no target, whatever it said
-    /// before. Unlike an entry that lapsed with an outage it is there, and is not waited for.
+    /// Removes a target whose entry cannot be read, as it no longer names a target. Unlike an entry
+    /// that expired in an outage it is present, so no grace period applies.
     pub fn withdraw(&mut self, name: &TargetName) -> Option<RosterChange> {
         let entry = self.entries.remove(name)?;
         Some(RosterChange::Gone(name.clone(), entry.record.address))
     }
 
-    /// Takes note that an entry is not listed any more.
+    /// Records that an entry is no longer listed.
     pub fn remove(&mut self, now: ClockTime, name: &TargetName) -> Option<RosterChange> {
         let entry = self.entries.get_mut(name)?;
-        let was_away = self.away_until.is_some_and(|until| now < until);
-        if was_away && entry.record.phase == TargetPhase::Ready {
+        let in_outage = self.outage_until.is_some_and(|until| now < until);
+        if in_outage && entry.record.phase == TargetPhase::Ready {
             if entry.missing_since.is_some() {
                 return None;
             }
@@ -194,9 +196,9 @@
         self.withdraw(name)
     }
 
-    /// Drops entries that were missing for too long after the store's return.
+    /// Removes entries that stayed missing after the store's return.
     pub fn expire(&mut self, now: ClockTime) -> Vec<RosterChange> {
-        if self.away_until.is_some_and(|until| now < until) {
+        if self.outage_until.is_some_and(|until| now < until) {
             return Vec::new();
         }
         let late: Vec<_> = self
@@ -209,17 +211,15 @@
         gone.collect()
     }
 
-    /// One target.
     pub fn get(&self, name: &TargetName) -> Option<&RosterEntry> {
         self.entries.get(name)
     }
 
-    /// What is seen of one target, for changes.
-    pub fn gauge_mut(&mut self, name: &TargetName) -> Option<&mut TargetGauge> {
-        self.entries.get_mut(name).map(|entry| &mut entry.gauge)
+    pub fn stats_mut(&mut self, name: &TargetName) -> Option<&mut TargetStats> {
+        self.entries.get_mut(name).map(|entry| &mut entry.stats)
     }
 
-    /// The targets of a service that take new work.
+    /// Returns the targets of a service that accept new requests.
     pub fn ready<'a>(&'a self, service: &ServiceName) -> impl Iterator<Item = &'a RosterEntry> {
         let service = service.clone();
         self.entries.values().filter(move |entry| {
@@ -227,7 +227,7 @@
         })
     }
 
-    /// All targets.
+    /// Returns all targets.
     pub fn entries(&self) -> impl Iterator<Item = &RosterEntry> {
         self.entries.values()
     }
--- a/crates/beechsaddle-core/src/gateway/token_escrow.rs
+++ b/crates/beechsaddle-core/src/gateway/token_escrow.rs
@@ -10,27 +10,27 @@
 use crate::clock::ClockTime;
 use crate::names::WorkspaceName;
 
-/// How many routers are assumed to keep a workspace until they are counted: a few more than there
-/// are in a small fleet, as the first holds are taken by all in the same moment.
-const KEEPERS_ASSUMED: u64 = 12;
+/// The assumed number of allocators of a workspace until they are counted: a few more than a small
+/// fleet has, as all of them take their first tokens at the same moment.
+const ALLOCATORS_ASSUMED: u64 = 12;
 
-/// What came of an attempt to reserve tokens.
+/// The result of an attempt to reserve tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReserveOutcome {
-    /// The tokens are reserved.
     Reserved,
-    /// The router holds too little, and has to ask for more.
+    /// The router holds too few tokens and has to obtain more.
     Short,
-    /// The fleet's remainder does not cover the request.
+    /// The tokens left in the fleet do not cover the request.
     Exhausted,
 }
 
-/// The tokens that this router took from ledgers, and what of them is promised to requests.
+/// The tokens that this router took from ledgers, and the part of them that is reserved for
+/// requests.
 #[derive(Clone, Debug)]
 pub struct TokenEscrow {
     pub(super) options: EscrowOptions,
     router: String,
-    keepers: u64,
+    allocators: u64,
     routers: u64,
     pub(super) accounts: BTreeMap<WorkspaceName, EscrowAccount>,
     changes: u64,
@@ -39,13 +39,13 @@
 }
 
 impl TokenEscrow {
-    /// An escrow that holds nothing; `router` is the incarnation that marks its changes.
+    /// Creates an escrow without tokens; `router` is the incarnation that identifies its changes.
     pub fn new(options: EscrowOptions, router: impl Into<String>) -> Self {
         TokenEscrow {
             options,
             router: router.into(),
-            keepers: KEEPERS_ASSUMED,
-            routers: KEEPERS_ASSUMED,
+            allocators: ALLOCATORS_ASSUMED,
+            routers: ALLOCATORS_ASSUMED,
             accounts: BTreeMap::new(),
             changes: 0,
             clock: ClockBounds::default(),
@@ -53,46 +53,47 @@
         }
     }
 
-    /// The incarnation that marks this router's changes.
+    /// Returns the incarnation that identifies this router's changes.
     pub fn router(&self) -> &str {
         &self.router
     }
 
-    /// Takes over the totals of a configuration.
+    /// Sets the prepaid totals of a configuration.
     pub fn set_config(&mut self, now: ClockTime, config: &GatewayConfig) {
-        let (keepers, routers, is_closing) = (self.keepers, self.routers, self.is_closing);
+        let (allocators, routers, is_closing) = (self.allocators, self.routers, self.is_closing);
         for rule in config.workspaces() {
             let account = self.accounts.entry(rule.name.clone());
             let account = account.or_insert_with(|| EscrowAccount::new(now));
-            account.keepers = keepers;
+            account.allocators = allocators;
             account.routers = routers;
             account.is_closing = is_closing;
             account.set_prepaid(rule.prepaid, &self.options);
         }
     }
 
-    /// Takes over how many routers keep each workspace, one in each domain, and how many there are.
-    pub fn set_fleet(&mut self, keepers: u64, routers: u64) {
-        self.keepers = keepers.max(1);
+    /// Sets the number of allocators of each workspace, one in each domain, and the number of
+    /// routers.
+    pub fn set_fleet(&mut self, allocators: u64, routers: u64) {
+        self.allocators = allocators.max(1);
         self.routers = routers.max(1);
         for account in self.accounts.values_mut() {
-            account.keepers = self.keepers;
+            account.allocators = self.allocators;
             account.routers = self.routers;
         }
     }
 
-    /// Takes over what the clocks of the fleet say now.
+    /// Sets the present bounds from the clocks of the fleet.
     pub fn set_clock(&mut self, clock: ClockBounds) {
         self.clock = clock;
     }
 
-    /// Takes over where the tokens of a workspace come from; tells whether that is a change.
+    /// Sets the role for a workspace; returns whether it changed.
     pub fn set_role(&mut self, workspace: &WorkspaceName, role: EscrowRole) -> bool {
         let account = self.accounts.get_mut(workspace);
         account.is_some_and(|account| account.set_role(role))
     }
 
-    /// Has everything that is not promised given back, and nothing taken any more.
+    /// Starts to return all tokens that are not reserved, and to take no more.
     pub fn close(&mut self) {
         self.is_closing = true;
         for account in self.accounts.values_mut() {
@@ -100,22 +101,22 @@
         }
     }
 
-    /// Whether everything is to be given back.
+    /// Whether all tokens are to be returned.
     pub fn is_closing(&self) -> bool {
         self.is_closing
     }
 
-    /// The workspaces whose totals are counted.
+    /// Returns the workspaces that have a prepaid total.
     pub fn counted(&self) -> Vec<WorkspaceName> {
         self.select(|account| account.prepaid.is_some())
     }
 
-    /// The workspaces whose ledgers have to be read.
+    /// Returns the workspaces whose ledgers have to be read.
     pub fn unread(&self) -> Vec<WorkspaceName> {
         self.select(EscrowAccount::needs_ledger)
     }
 
-    /// The workspaces whose ledgers should be written, or asked what became of a write.
+    /// Returns the workspaces whose ledgers should be written, or read for the outcome of a write.
     pub fn due(&self, now: ClockTime) -> Vec<WorkspaceName> {
         self.select(|account| {
             let has_transfer = || account.next_transfer(now, &self.options).is_some();
@@ -123,33 +124,35 @@
         })
     }
 
-    /// The workspaces that this router keeps and holds tokens of while little is left: others may need them.
+    /// Returns the workspaces that this router allocates and holds tokens of while little is left,
+    /// as other routers may need them.
     pub fn scarce(&self) -> Vec<WorkspaceName> {
         self.select(|account| {
-            account.role == EscrowRole::Keeper && account.is_scarce() && account.held() > 0
+            account.role == EscrowRole::Allocator && account.is_scarce() && account.held() > 0
         })
     }
 
-    /// The workspaces that this router keeps.
+    /// Returns the workspaces that this router allocates.
     pub fn kept(&self) -> Vec<WorkspaceName> {
-        self.select(|account| account.role == EscrowRole::Keeper)
+        self.select(|account| account.role == EscrowRole::Allocator)
     }
 
-    /// Whether calls wait for a write of a workspace's ledger, here or elsewhere.
+    /// Whether calls wait for a write of a workspace's ledger, on this router or others.
     pub fn is_urgent(&self, now: ClockTime, workspace: &WorkspaceName) -> bool {
         let account = self.accounts.get(workspace);
         account
-            .is_some_and(|account| account.asks_ledger() || account.is_missed(now, &self.options))
+            .is_some_and(|account| account.asks_ledger() || account.is_needed(now, &self.options))
     }
 
-    /// Whether calls wait for more of a workspace that this router keeps than it and the ledger have.
-    pub fn outgrows_ledger(&self, workspace: &WorkspaceName) -> bool {
+    /// Whether calls wait for more tokens of a workspace that this router allocates than it and the
+    /// ledger have.
+    pub fn is_uncovered(&self, workspace: &WorkspaceName) -> bool {
         let account = self.accounts.get(workspace);
         account
-            .is_some_and(|account| account.role == EscrowRole::Keeper && account.outgrows_ledger())
+            .is_some_and(|account| account.role == EscrowRole::Allocator && account.is_uncovered())
     }
 
-    /// Reserves the most that a request may use.
+    /// Reserves the most tokens that a request may use.
     pub fn try_reserve(
         &mut self,
         now: ClockTime,
@@ -162,7 +165,7 @@
         if account.prepaid.is_none() {
             return ReserveOutcome::Reserved;
         }
-        account.open_deferred(now, &self.options);
+        account.release_deferred(now, &self.options);
         if account.free >= tokens {
             account.reserve(now, tokens);
             return ReserveOutcome::Reserved;
@@ -173,21 +176,21 @@
         }
     }
 
-    /// A request waits for `tokens`.
+    /// Registers a request that waits for `tokens`.
     pub fn begin_wait(&mut self, now: ClockTime, workspace: &WorkspaceName, tokens: u64) {
         if let Some(account) = self.accounts.get_mut(workspace) {
             account.begin_wait(now, tokens);
         }
     }
 
-    /// The request waits no more.
+    /// Removes a waiting request.
     pub fn end_wait(&mut self, workspace: &WorkspaceName, tokens: u64) {
         if let Some(account) = self.accounts.get_mut(workspace) {
             account.end_wait(tokens);
         }
     }
 
-    /// Ends a reservation; `used` of its tokens are spent.
+    /// Ends a reservation of which `used` tokens are spent.
     pub fn settle(&mut self, now: ClockTime, workspace: &WorkspaceName, reserved: u64, used: u64) {
         let account = self.accounts.get_mut(workspace);
         if let Some(account) = account.filter(|account| account.prepaid.is_some()) {
@@ -195,24 +198,24 @@
         }
     }
 
-    /// The ledger of a workspace as it was last seen.
+    /// Returns the ledger of a workspace as last read or written.
     pub fn ledger(&self, workspace: &WorkspaceName) -> Option<&BudgetLedger> {
         self.accounts.get(workspace)?.ledger.as_ref()
     }
 
-    /// The number of a workspace's change whose outcome is not known yet.
+    /// Returns the number of a workspace's change whose outcome is unknown.
     pub fn pending_number(&self, workspace: &WorkspaceName) -> Option<u64> {
         let pending = self.accounts.get(workspace)?.pending?;
         Some(pending.change.number)
     }
 
-    /// Takes over the ledger of a workspace as it was read; `is_newer` tells whether its revision is
-    /// another than that of the ledger which was known.
+    /// Sets the ledger of a workspace as read; `is_newer` is whether its revision differs from that
+    /// of the known ledger.
     ///
-    /// A change whose outcome is not known was made from the ledger that was known, and can only be
-    /// done while that is the newest. On a newer one it either shows its mark, or never will be done.
-    /// Left pending, it would be written on top of the newer ledger: tokens given back twice, or
-    /// taken beyond a total that others have used up meanwhile.
+    /// A change with an unknown outcome was made from the known ledger, and can only be applied
+    /// while that is the newest. A newer ledger either has its writer entry, or the change will
+    /// never be applied. If it stayed pending, it would be written on top of the newer ledger:
+    /// tokens would be returned twice, or taken beyond a total that others have used up meanwhile.
     pub fn take_ledger(
         &mut self,
         now: ClockTime,
@@ -231,20 +234,21 @@
 
     fn set_ledger(&mut self, now: ClockTime, workspace: &WorkspaceName, ledger: BudgetLedger) {
         if let Some(account) = self.accounts.get_mut(workspace) {
-            account.died_before = ledger.died_before(&self.router);
+            account.uncounted_losses = ledger.uncounted_losses(&self.router);
             account.set_ledger(now, ledger, &self.options);
         }
     }
 
-    /// Whether it may still turn out that tokens of a process that ended on this host come back. Until then a
-    /// write that no call waits for is worth waiting with.
+    /// Whether tokens of an earlier process on this host may still be recovered. Until that is
+    /// known, a write that no call waits for should be postponed.
     pub fn awaits_deferred(&self, workspace: &WorkspaceName) -> bool {
         let ledger = self.ledger(workspace);
         let is_deferred = ledger.is_some_and(|ledger| ledger.has_deferred_before(&self.router));
         is_deferred && self.clock.started == StartBound::Awaited
     }
 
-    /// What a workspace's ledger should be asked for; the same change until its outcome is known.
+    /// Returns the change to write to a workspace's ledger; the same change until its outcome is
+    /// known.
     pub fn plan(&mut self, now: ClockTime, workspace: &WorkspaceName) -> Option<LedgerChange> {
         let account = self.accounts.get_mut(workspace)?;
         if account.pending.is_some() {
@@ -253,14 +257,14 @@
         if !account.uses_ledger() {
             return None;
         }
-        account.open_deferred(now, &self.options);
+        account.release_deferred(now, &self.options);
         let transfer = account.next_transfer(now, &self.options)?;
         self.changes += 1;
         let (number, clock) = (self.changes, self.clock);
         Some(account.begin_change(now, number, transfer, clock, &self.options))
     }
 
-    /// The pending change of a workspace is in its ledger.
+    /// Applies the pending change of a workspace, which is in its ledger.
     pub fn commit(&mut self, now: ClockTime, workspace: &WorkspaceName, ledger: BudgetLedger) {
         if let Some(account) = self.accounts.get_mut(workspace) {
             account.commit_change();
@@ -268,7 +272,7 @@
         self.set_ledger(now, workspace, ledger);
     }
 
-    /// The pending change of a workspace is not in its ledger and never will be.
+    /// Reverts the pending change of a workspace, which is not in its ledger and never will be.
     pub fn revert(&mut self, now: ClockTime, workspace: &WorkspaceName, ledger: BudgetLedger) {
         if let Some(account) = self.accounts.get_mut(workspace) {
             account.revert_change();
@@ -276,45 +280,51 @@
         self.set_ledger(now, workspace, ledger);
     }
 
-    /// The store turned a write of the pending change away. One that was tried before may still be done, and stays.
+    /// Handles the store's rejection of a write of the pending change. A change that was written
+    /// before may still be applied, and stays pending.
     pub fn withdraw(&mut self, workspace: &WorkspaceName) {
         if let Some(account) = self.accounts.get_mut(workspace) {
             account.withdraw_change();
         }
     }
 
-    /// Whether tokens are held and not promised, or on their way to a ledger, or a ledger has yet to be told
-    /// that none are.
+    /// Whether tokens are unreserved or in transit, or a ledger still has an entry with idle tokens
+    /// of this router.
     pub fn has_tokens(&self) -> bool {
         let mut accounts = self.accounts.values();
         accounts.any(|account| account.has_tokens() || account.pending.is_some())
     }
 
-    /// Tokens that calls may use now, of all workspaces.
+    /// Returns the tokens of all workspaces that calls may use now.
     pub fn free_tokens(&self) -> u64 {
         self.accounts.values().map(|account| account.free).sum()
     }
 
-    /// Tokens held and not promised, of all workspaces: the free and the deferred ones.
+    /// Returns the unreserved tokens of all workspaces, free and deferred.
     pub fn held_tokens(&self) -> u64 {
         self.accounts.values().map(EscrowAccount::held).sum()
     }
 
-    /// Tokens that nobody has taken of a workspace's total; `None` while that is not known.
+    /// Returns the tokens of a workspace's total that no router has taken; `None` until they are
+    /// known.
     pub fn left_of(&self, workspace: &WorkspaceName) -> Option<u64> {
         self.accounts.get(workspace)?.left()
     }
 
-    /// What is held and known of a workspace, for logs and operators; `None` where nothing is counted.
+    /// Returns the holdings of a workspace, for logs and operators; `None` if it has no prepaid
+    /// total.
     pub fn facts(&self, now: ClockTime, workspace: &WorkspaceName) -> Option<EscrowFacts> {
         let account = self.accounts.get(workspace)?;
         account.prepaid?;
         Some(account.facts(now))
     }
 
-    pub(super) fn select(&self, is_meant: impl Fn(&EscrowAccount) -> bool) -> Vec<WorkspaceName> {
+    pub(super) fn select(
+        &self,
+        is_selected: impl Fn(&EscrowAccount) -> bool,
+    ) -> Vec<WorkspaceName> {
         let accounts = self.accounts.iter();
-        let meant = accounts.filter(|(_, account)| is_meant(account));
-        meant.map(|(workspace, _)| workspace.clone()).collect()
+        let selected = accounts.filter(|(_, account)| is_selected(account));
+        selected.map(|(workspace, _)| workspace.clone()).collect()
     }
 }
--- a/crates/beechsaddle-core/src/gateway/token_loan.rs
+++ b/crates/beechsaddle-core/src/gateway/token_loan.rs
@@ -1,43 +1,43 @@
-//! The `token_loan` module provides what routers ask each other for, and answer.
+//! The `token_loan` module provides the messages of token loans between routers.
 
-/// What a router asks another for.
+/// A request for tokens from another router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoanRequest {
     /// The smallest loan that helps.
     pub least: u64,
-    /// What calls wait for.
+    /// Tokens that calls wait for.
     pub need: u64,
-    /// What to lend beyond that.
+    /// Tokens to lend beyond that, in advance.
     pub ahead: u64,
-    /// What calls used at the borrower beyond what it told before, in tokens; below zero where less was
-    /// used than it told.
+    /// Tokens used by calls at the borrower since its last report; negative if less was used than
+    /// reported.
     pub used: i64,
 }
 
-/// Tokens that a borrower hands back to the router that keeps their workspace.
+/// Tokens that a borrower returns to the allocator of their workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoanReturn {
-    /// The tokens, which the borrower has given up.
+    /// The tokens, which the borrower has deducted.
     pub tokens: u64,
     /// As in [`LoanRequest::used`].
     pub used: i64,
 }
 
-/// What another router answers.
+/// The answer to a loan request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoanReply {
-    /// Tokens that it has given up.
+    /// Tokens that the lender has deducted.
     Lent(u64),
-    /// It has too little now.
+    /// The lender has too few tokens now.
     Short,
     /// The total does not cover the smallest loan that helps.
     Exhausted,
-    /// It has too little, and cannot reach the ledger to get more.
+    /// The lender has too few tokens and cannot reach the ledger to take more.
     LedgerAway,
 }
 
 impl LoanReply {
-    /// A word for logs.
+    /// Returns the name of the answer in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             LoanReply::Lent(_) => "lent",
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Tokens that were lent.
+    /// Returns the lent tokens.
     pub fn tokens(self) -> u64 {
         match self {
             LoanReply::Lent(tokens) => tokens,
--- a/crates/beechsaddle-core/tests/choice_support/mod.rs
+++ b/crates/beechsaddle-core/tests/choice_support/mod.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 use beechsaddle_core::gateway::{
-    ChoiceInput, PolicyOptions, PromptPart, PromptShape, TargetChoice, TargetGauge, TargetPhase,
-    TargetRecord, TargetRoster, choose_target,
+    ChoiceInput, PolicyOptions, PromptPart, PromptShape, TargetChoice, TargetPhase, TargetRecord,
+    TargetRoster, TargetStats, choose_target,
 };
 use beechsaddle_core::prelude::*;
 
@@ -34,8 +34,8 @@
 }
 
 /// The stats of an engine.
-pub fn stats<'a>(roster: &'a mut TargetRoster, name: &str) -> &'a mut TargetGauge {
-    let stats = roster.gauge_mut(&TargetName::new(name));
+pub fn stats<'a>(roster: &'a mut TargetRoster, name: &str) -> &'a mut TargetStats {
+    let stats = roster.stats_mut(&TargetName::new(name));
     stats.expect("a target")
 }
 
--- a/crates/beechsaddle-core/tests/fleet_setup/mod.rs
+++ b/crates/beechsaddle-core/tests/fleet_setup/mod.rs
@@ -1,4 +1,4 @@
-//! The `fleet_setup` module provides the catalogue, hosts and settings of the tests' fleets.
+//! The `fleet_setup` module provides the catalogue, hosts and settings of the test fleets.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -21,7 +21,7 @@
 use beechsaddle_core::target::{EngineRole, EngineState, LoadReport, ProbeOutcome};
 use beechsaddle_core::targets::TargetOptions;
 
-/// What a healthy target says of itself.
+/// The probe outcome of a healthy target.
 pub fn probe_outcome(target: &TargetName) -> ProbeOutcome {
     let engine = target.as_str().starts_with("engine").then(|| EngineState {
         model: "glas".into(),
@@ -35,17 +35,17 @@
     }
 }
 
-/// The one domain of the simpler fleets.
+/// The domain of single-domain fleets.
 pub const DOMAIN: &str = "graz-nord";
 
-/// A router of the one domain that knows the others as seeds.
+/// A router of the single domain that has the other routers as seeds.
 pub fn new_router(me: &RouterIncarnation, all: &[RouterIncarnation]) -> RouterCore {
     let seeds = all.iter().filter(|name| *name != me);
     let seeds = seeds.map(|name| seed_peer(name, &DOMAIN.into())).collect();
     RouterCore::new(router_options(me, &DOMAIN.into(), seeds))
 }
 
-/// A router that another one knows from its settings.
+/// A router as listed in the settings of another one.
 pub fn seed_peer(name: &RouterIncarnation, domain: &DomainName) -> SeedPeer {
     SeedPeer {
         host: name.host.clone(),
@@ -125,7 +125,7 @@
     }
 }
 
-/// The hosts of the one domain.
+/// The hosts of the single domain.
 pub fn host_list(routers: &[RouterIncarnation]) -> HostList {
     let domain = DomainName::from(DOMAIN);
     let mut hosts: Vec<_> = routers
--- a/crates/beechsaddle-core/tests/gateway_news.rs
+++ b/crates/beechsaddle-core/tests/gateway_changes.rs
@@ -3,14 +3,15 @@
 use std::collections::BTreeMap;
 
 use beechsaddle_core::gateway::{
-    FollowDoubt, LoanPauses, NewsChoice, NewsLog, NewsReply, NewsSource, PeerRecord, PeerRing,
+    ChangeLog, ChangeReply, ChangeSource, FollowFailure, LoanBackoff, PeerRecord, PeerRing,
+    SourceSelector,
 };
 use beechsaddle_core::prelude::*;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const START: ClockTime = ClockTime::from_millis(1_000_000);
 
-/// Routers of the domain in all tests: enough that they relay.
+/// Number of routers of the domain in all tests: enough that they relay.
 const ROUTERS: usize = 8;
 
 fn host(number: usize) -> HostName {
@@ -32,47 +33,47 @@
     text.as_bytes().to_vec()
 }
 
-/// One who knows everything gets nothing, one that is behind gets what it lacks, and one that is too far behind
-/// learns that: a gap would hide a target that left.
+/// An up-to-date follower receives nothing, one that is behind receives the missing changes, and
+/// one that is too far behind receives `Gone`: a gap would hide the removal of a target.
 #[test]
-fn since_gives_what_is_newer_or_gone() {
-    let mut log = NewsLog::default();
-    assert_eq!(log.since(5), NewsReply::Gone);
+fn since_returns_newer_changes_or_gone() {
+    let mut log = ChangeLog::default();
+    assert_eq!(log.since(5), ChangeReply::Gone);
     log.restart(10);
-    assert_eq!(log.since(9), NewsReply::Gone);
-    assert_eq!(log.since(10), NewsReply::Nothing);
+    assert_eq!(log.since(9), ChangeReply::Gone);
+    assert_eq!(log.since(10), ChangeReply::Nothing);
     log.add(12, body("a"));
-    log.note_unchanged(15);
-    assert_eq!(log.since(12), NewsReply::Nothing);
+    log.record_unchanged(15);
+    assert_eq!(log.since(12), ChangeReply::Nothing);
     log.add(20, body("b"));
     let bodies = |reply| match reply {
-        NewsReply::News(batches) => batches.iter().map(|batch| batch.body.to_vec()).collect(),
-        NewsReply::Nothing | NewsReply::Gone => Vec::new(),
+        ChangeReply::News(batches) => batches.iter().map(|batch| batch.body.to_vec()).collect(),
+        ChangeReply::Nothing | ChangeReply::Gone => Vec::new(),
     };
     assert_eq!(bodies(log.since(10)), [body("a"), body("b")]);
     assert_eq!(bodies(log.since(15)), [body("b")]);
     assert_eq!(log.revision(), 20);
 }
 
-/// A log keeps a bounded part of what changed, however much comes, and never has a gap in it.
+/// A log retains a bounded part of the changes, without gaps.
 #[test]
-fn add_without_end_keeps_a_bounded_part() {
-    let mut log = NewsLog::default();
+fn add_retains_a_bounded_part() {
+    let mut log = ChangeLog::default();
     log.restart(1);
     for revision in 2..500 {
         log.add(revision, vec![0; 100_000]);
     }
-    let kept = (1..500).filter(|revision| log.since(*revision) != NewsReply::Gone);
-    let kept: Vec<_> = kept.collect();
-    assert!(kept.len() < 30, "{}", kept.len());
-    assert_eq!(kept.last(), Some(&499));
+    let retained = (1..500).filter(|revision| log.since(*revision) != ChangeReply::Gone);
+    let retained: Vec<_> = retained.collect();
+    assert!(retained.len() < 30, "{}", retained.len());
+    assert_eq!(retained.last(), Some(&499));
 }
 
-/// All routers of a domain agree on two that follow the store, and each of the others follows one of them. In a
-/// small domain all follow the store.
+/// All routers of a domain agree on two that follow the store, and each of the others follows one
+/// of them. In a small domain all follow the store.
 #[test]
 fn source_two_of_a_domain_follow_the_store() {
-    let choice = NewsChoice::default();
+    let choice = SourceSelector::default();
     let sources = |routers| -> Vec<_> {
         (0..routers)
             .map(|number| choice.source(START, &ring(number, routers)))
@@ -80,137 +81,137 @@
     };
     let large = sources(ROUTERS);
     let followers: Vec<_> = (0..ROUTERS)
-        .filter(|number| large[*number] == NewsSource::Store)
+        .filter(|number| large[*number] == ChangeSource::Store)
         .map(host)
         .collect();
     assert_eq!(followers.len(), 2);
     for source in large {
-        if let NewsSource::Router(peer) = source {
+        if let ChangeSource::Router(peer) = source {
             assert!(followers.contains(&peer.host));
         }
     }
     let small = sources(4);
-    assert!(small.iter().all(|source| *source == NewsSource::Store));
+    assert!(small.iter().all(|source| *source == ChangeSource::Store));
 }
 
-/// The routers that are followed cannot reach the store, and this one can. It asks the next in line, and after a few
-/// the store itself: whoever reaches the store never waits for those that do not. When the first are in touch again,
-/// they are followed again.
+/// The followed routers cannot reach the store, and this one can. It asks the next in order, and
+/// after a few the store itself: a router that reaches the store never waits for those that do not.
+/// Once the first ones reach the store again, they are followed again.
 #[test]
-fn source_followers_away_next_in_line_then_store() {
+fn source_unreachable_followers_then_next_then_store() {
     let ring = follower_of_others();
-    let mut choice = NewsChoice::default();
+    let mut choice = SourceSelector::default();
     let mut asked = Vec::new();
-    while let NewsSource::Router(peer) = choice.source(START, &ring) {
-        choice.note_doubt(START, &peer.host, FollowDoubt::Away);
+    while let ChangeSource::Router(peer) = choice.source(START, &ring) {
+        choice.record_failure(START, &peer.host, FollowFailure::Away);
         asked.push(peer.host);
     }
     assert!((3..=4).contains(&asked.len()), "{asked:?}");
-    assert_eq!(choice.source(START, &ring), NewsSource::Store);
-    let NewsSource::Router(peer) = choice.source(START.plus_ms(1_000), &ring) else {
-        panic!("nobody is followed");
+    assert_eq!(choice.source(START, &ring), ChangeSource::Store);
+    let ChangeSource::Router(peer) = choice.source(START.plus_ms(1_000), &ring) else {
+        panic!("no router is followed");
     };
     assert_eq!(peer.host, asked[0]);
 }
 
-/// Two routers in a row do not answer, which costs the time of two answers. The store is asked at once, before a third
-/// silent one makes a change come into force too late.
+/// Two routers in a row do not answer, which costs the time of two answers. The store is asked at
+/// once, as a third time-out would make a change take effect too late.
 #[test]
-fn source_two_silent_then_store() {
+fn source_store_after_two_timeouts() {
     let ring = follower_of_others();
-    let mut choice = NewsChoice::default();
+    let mut choice = SourceSelector::default();
     for _ in 0..2 {
-        let NewsSource::Router(peer) = choice.source(START, &ring) else {
-            panic!("nobody is followed");
+        let ChangeSource::Router(peer) = choice.source(START, &ring) else {
+            panic!("no router is followed");
         };
-        choice.note_doubt(START, &peer.host, FollowDoubt::Silent);
+        choice.record_failure(START, &peer.host, FollowFailure::Silent);
     }
-    assert_eq!(choice.source(START, &ring), NewsSource::Store);
+    assert_eq!(choice.source(START, &ring), ChangeSource::Store);
 }
 
-/// Routers that see another list ask this one. It follows the store for them, and stops when nobody asks.
+/// Routers with another list ask this one. It follows the store for them, and stops when none asks.
 #[test]
-fn note_asked_makes_a_follower_for_a_while() {
+fn record_asked_makes_a_temporary_follower() {
     let ring = follower_of_others();
-    let mut choice = NewsChoice::default();
+    let mut choice = SourceSelector::default();
     assert!(!choice.is_follower(START, &ring));
-    choice.note_asked(START);
+    choice.record_asked(START);
     assert!(choice.is_follower(START, &ring));
-    assert_eq!(choice.source(START, &ring), NewsSource::Store);
+    assert_eq!(choice.source(START, &ring), ChangeSource::Store);
     assert!(choice.is_follower(START.plus_ms(2_000), &ring));
     assert!(!choice.is_follower(START.plus_ms(5_000), &ring));
 }
 
-/// Of many routers each asks the same keeper all through an outage, for each call that waits. The pauses double,
-/// end with a loan, and all end when the store is back.
+/// During an outage each router would ask the same allocator for every waiting call. The pauses
+/// double, end with a loan, and all end when the store is back.
 #[test]
-fn loan_pauses_double_until_tokens_come() {
+fn loan_backoff_doubles_until_tokens_arrive() {
     let acme = WorkspaceName::new("acme");
-    let mut pauses = LoanPauses::default();
+    let mut backoff = LoanBackoff::default();
     let mut now = START;
     let mut asked = 0;
     while now < START.plus_ms(8_000) {
-        if !pauses.is_paused(now, &acme) {
+        if !backoff.is_paused(now, &acme) {
             asked += 1;
-            pauses.note_refused(now, &acme);
+            backoff.record_refused(now, &acme);
         }
         now = now.plus_ms(50);
     }
     assert!(asked <= 6, "asked {asked} times in 8 s");
-    pauses.note_lent(&acme);
-    assert!(!pauses.is_paused(now, &acme));
-    pauses.note_refused(now, &acme);
-    assert!(pauses.is_paused(now, &acme));
-    pauses.clear();
-    assert!(!pauses.is_paused(now, &acme));
+    backoff.record_lent(&acme);
+    assert!(!backoff.is_paused(now, &acme));
+    backoff.record_refused(now, &acme);
+    assert!(backoff.is_paused(now, &acme));
+    backoff.clear();
+    assert!(!backoff.is_paused(now, &acme));
 }
 
 fn follower_of_others() -> PeerRing {
     let rings = (0..ROUTERS).map(|number| ring(number, ROUTERS));
-    let choice = NewsChoice::default();
-    let mut rings = rings.filter(|ring| choice.source(START, ring) != NewsSource::Store);
+    let choice = SourceSelector::default();
+    let mut rings = rings.filter(|ring| choice.source(START, ring) != ChangeSource::Store);
     rings.next().expect("not all follow the store")
 }
 
-/// What happens next in a session.
+/// A step of a session.
 #[derive(Clone, Copy, Debug)]
-enum NewsStep {
+enum FollowStep {
     /// An object changes, or is removed.
     Change { object: u8, is_removed: bool },
-    /// A router takes one step of following; its answer may be lost.
+    /// A router follows for one step; its answer may be lost.
     Follow { router: u8, is_lost: bool },
-    /// A router and the store lose each other, or find each other again.
+    /// A router loses or regains its connection to the store.
     Cut { router: u8, is_cut: bool },
-    /// A router answers no other one, or does again.
+    /// A router stops answering other routers, or resumes.
     Freeze { router: u8, is_frozen: bool },
-    /// A router starts anew.
+    /// A router restarts.
     Restart { router: u8 },
     /// Time passes.
     Wait { ms: u16 },
 }
 
-impl Arbitrary for NewsStep {
+impl Arbitrary for FollowStep {
     fn arbitrary(source: &mut Gen) -> Self {
         let router = u8::arbitrary(source) % ROUTERS as u8;
         match u8::arbitrary(source) % 20 {
-            0..=3 => NewsStep::Change {
+            0..=3 => FollowStep::Change {
                 object: u8::arbitrary(source) % 4,
                 is_removed: u8::arbitrary(source) % 3 == 0,
             },
-            4..=13 => NewsStep::Follow {
+            4..=13 => FollowStep::Follow {
                 router,
                 is_lost: u8::arbitrary(source) % 8 == 0,
             },
-            14..=15 => NewsStep::Cut {
+            14..=15 => FollowStep::Cut {
                 router,
                 is_cut: bool::arbitrary(source),
             },
-            16 => NewsStep::Freeze {
+            16 => FollowStep::Freeze {
                 router,
                 is_frozen: bool::arbitrary(source),
             },
-            17 => NewsStep::Restart { router },
-            _ => NewsStep::Wait {
+            17 => FollowStep::Restart { router },
+            _ => FollowStep::Wait {
                 ms: u16::arbitrary(source) % 1_500,
             },
         }
@@ -255,8 +256,8 @@
 #[derive(Debug)]
 struct SessionRouter {
     ring: PeerRing,
-    choice: NewsChoice,
-    log: NewsLog,
+    choice: SourceSelector,
+    log: ChangeLog,
     objects: Objects,
     revision: u64,
     is_cut: bool,
@@ -264,7 +265,7 @@
 }
 
 /// A store, its history, and the routers of a domain.
-struct NewsSession {
+struct FollowSession {
     now: ClockTime,
     /// The objects at each revision.
     history: Vec<Objects>,
@@ -272,9 +273,9 @@
     routers: Vec<SessionRouter>,
 }
 
-impl NewsSession {
+impl FollowSession {
     fn new() -> Self {
-        let mut session = NewsSession {
+        let mut session = FollowSession {
             now: START,
             history: vec![Objects::new(), Objects::new()],
             changes: Vec::new(),
@@ -291,13 +292,13 @@
         self.history.len() as u64 - 1
     }
 
-    /// A router that starts lists the store before it does anything else.
+    /// A router lists the store at its start, before anything else.
     fn start(&self, number: usize) -> SessionRouter {
-        let mut log = NewsLog::default();
+        let mut log = ChangeLog::default();
         log.restart(self.revision());
         SessionRouter {
             ring: ring(number, ROUTERS),
-            choice: NewsChoice::default(),
+            choice: SourceSelector::default(),
             log,
             objects: self.history.last().expect("the newest").clone(),
             revision: self.revision(),
@@ -306,21 +307,21 @@
         }
     }
 
-    fn run(&mut self, step: NewsStep) {
+    fn run(&mut self, step: FollowStep) {
         match step {
-            NewsStep::Change { object, is_removed } => self.change(object, is_removed),
-            NewsStep::Follow { router, is_lost } => self.follow(router.into(), is_lost),
-            NewsStep::Cut { router, is_cut } => {
+            FollowStep::Change { object, is_removed } => self.change(object, is_removed),
+            FollowStep::Follow { router, is_lost } => self.follow(router.into(), is_lost),
+            FollowStep::Cut { router, is_cut } => {
                 self.routers[usize::from(router)].is_cut = is_cut;
             }
-            NewsStep::Freeze { router, is_frozen } => {
+            FollowStep::Freeze { router, is_frozen } => {
                 self.routers[usize::from(router)].is_frozen = is_frozen;
             }
-            NewsStep::Restart { router } => {
+            FollowStep::Restart { router } => {
                 let number = usize::from(router);
                 self.routers[number] = self.start(number);
             }
-            NewsStep::Wait { ms } => self.now = self.now.plus_ms(ms.into()),
+            FollowStep::Wait { ms } => self.now = self.now.plus_ms(ms.into()),
         }
     }
 
@@ -343,8 +344,8 @@
         }
         let router = &self.routers[number];
         match router.choice.source(self.now, &router.ring) {
-            NewsSource::Store => self.follow_store(number),
-            NewsSource::Router(peer) => self.follow_router(number, &peer.host, is_lost),
+            ChangeSource::Store => self.follow_store(number),
+            ChangeSource::Router(peer) => self.follow_router(number, &peer.host, is_lost),
         }
     }
 
@@ -353,9 +354,9 @@
             return;
         }
         let known = self.routers[number].revision;
-        let news = self.changes.iter().filter(|change| change.revision > known);
-        let news: Vec<_> = news.copied().collect();
-        for change in news {
+        let newer = self.changes.iter().filter(|change| change.revision > known);
+        let newer: Vec<_> = newer.copied().collect();
+        for change in newer {
             self.take(number, change);
         }
     }
@@ -374,19 +375,19 @@
         let known = self.routers[number].revision;
         let asked = &mut self.routers[at];
         if asked.is_frozen || is_lost {
-            return self.doubt(number, host, FollowDoubt::Silent);
+            return self.follow_failed(number, host, FollowFailure::Silent);
         }
         if !asked.choice.is_follower(now, &asked.ring) {
-            asked.choice.note_asked(now);
-            return self.doubt(number, host, FollowDoubt::Beginning);
+            asked.choice.record_asked(now);
+            return self.follow_failed(number, host, FollowFailure::Beginning);
         }
         if asked.is_cut {
-            return self.doubt(number, host, FollowDoubt::Away);
+            return self.follow_failed(number, host, FollowFailure::Away);
         }
         match asked.log.since(known) {
-            NewsReply::Nothing => {}
-            NewsReply::Gone => self.follow_store(number),
-            NewsReply::News(batches) => {
+            ChangeReply::Nothing => {}
+            ChangeReply::Gone => self.follow_store(number),
+            ChangeReply::News(batches) => {
                 for batch in batches {
                     self.take(number, ObjectChange::decode(&batch.body));
                 }
@@ -394,19 +395,19 @@
         }
     }
 
-    fn doubt(&mut self, number: usize, host: &HostName, doubt: FollowDoubt) {
+    fn follow_failed(&mut self, number: usize, host: &HostName, failure: FollowFailure) {
         let router = &mut self.routers[number];
-        router.choice.note_doubt(self.now, host, doubt);
+        router.choice.record_failure(self.now, host, failure);
     }
 
-    /// Whether each router knows just what the store had at the router's revision.
-    fn is_true(&self) -> bool {
+    /// Whether each router has the objects of the store at the router's revision.
+    fn is_consistent(&self) -> bool {
         self.routers
             .iter()
             .all(|router| self.history[router.revision as usize] == router.objects)
     }
 
-    /// All are in touch again for some seconds.
+    /// Restores all connections for some seconds.
     fn heal(&mut self) {
         for router in &mut self.routers {
             router.is_cut = false;
@@ -424,13 +425,14 @@
     }
 }
 
-/// Objects change while routers follow the store or each other, are cut off, freeze and start anew, and answers are
-/// lost. What a router believes is at any moment what the store had at one revision: no change is missed,
-/// undone or taken from a later one. In touch again, all know the newest within seconds.
+/// Objects change while routers follow the store or each other, are partitioned, freeze and
+/// restart, and answers are lost. At any time a router's state equals that of the store at one
+/// revision: no change is missed, undone or applied early. After reconnection, all reach the newest
+/// revision within seconds.
 #[test]
-fn news_random_sessions_miss_no_change() {
-    fn holds(steps: Vec<NewsStep>) -> bool {
-        let mut session = NewsSession::new();
+fn follow_random_sessions_miss_no_change() {
+    fn holds(steps: Vec<FollowStep>) -> bool {
+        let mut session = FollowSession::new();
         for step in steps {
             let before: Vec<_> = session
                 .routers
@@ -443,15 +445,15 @@
                 .iter()
                 .zip(before)
                 .any(|(router, before)| router.revision < before);
-            if has_regressed || !session.is_true() {
+            if has_regressed || !session.is_consistent() {
                 return false;
             }
         }
         session.heal();
-        session.is_true() && session.is_caught_up()
+        session.is_consistent() && session.is_caught_up()
     }
     QuickCheck::new()
         .rng(Gen::new(300))
         .tests(1_500)
-        .quickcheck(holds as fn(Vec<NewsStep>) -> bool);
+        .quickcheck(holds as fn(Vec<FollowStep>) -> bool);
 }
--- a/crates/beechsaddle-core/tests/gateway_deferred.rs
+++ b/crates/beechsaddle-core/tests/gateway_deferred.rs
@@ -1,7 +1,9 @@
-//! Random sessions of a fleet whose keepers defer a part of what they hold, and give it back after they ended.
+//! Random sessions of a fleet whose allocators defer a part of their tokens, and return it after
+//! they ended.
 //!
-//! Keepers, ledgers and clocks are the product's; hosts, the store and what befalls them are played. Whenever a process
-//! settles what another one before it on its host had deferred, no more may come back than that one never used.
+//! Allocators, ledgers and clocks are the product's; hosts, the store and faults are simulated.
+//! When a process settles the deferred tokens of its predecessor on the same host, no more may be
+//! recovered than the predecessor had not used.
 
 use std::collections::BTreeMap;
 
@@ -17,10 +19,10 @@
 const HOSTS: usize = 5;
 const STEP_MS: u64 = 100;
 const SESSION_STEPS: usize = 900;
-/// When the session begins; clocks of hosts count from there.
+/// Start of the session, from which the clocks of hosts count.
 const START_MS: u64 = 1_000_000;
 const FIRST_TOTAL: u64 = 400_000;
-/// How far clocks of hosts are off that nobody stepped, in milliseconds.
+/// The largest offset of clocks that were not stepped, in milliseconds.
 const SOUND_OFFSET_MS: i64 = 200;
 
 fn acme() -> WorkspaceName {
@@ -50,33 +52,33 @@
     escrow: TokenEscrow,
     clock: FleetClock,
     revision: u64,
-    /// What its steady clock is ahead of the session's.
+    /// The offset of its steady clock from the session's.
     steady_ahead_ms: i64,
     started_at: ClockTime,
     open_calls: Vec<u64>,
     has_pending: Option<LedgerChange>,
 }
 
-/// A host, and what befalls it.
+/// A host and its faults.
 #[derive(Default)]
 struct SessionHost {
     process: Option<RouterProcess>,
     back_at_ms: u64,
     frozen_until_ms: u64,
     cut_until_ms: u64,
-    alone_until_ms: u64,
+    isolated_until_ms: u64,
     wall_ahead_ms: i64,
 }
 
-/// What a process that ended had not used.
+/// The unused tokens of a process that ended.
 #[derive(Clone, Copy, Debug)]
 struct EndedProcess {
     deferred: u64,
-    /// The last change that it made and never heard of.
+    /// The last change that it made without learning the outcome.
     pending: Option<LedgerChange>,
 }
 
-/// A write that may be done later.
+/// A write that may be applied later.
 struct LateWrite {
     due_ms: u64,
     revision: u64,
@@ -87,10 +89,10 @@
 struct DeferredSession {
     random: StdRng,
     wrong_clocks: WrongClocks,
-    /// One step in so many writes.
+    /// A write occurs in one of this many steps.
     write_odds: u64,
     now_ms: u64,
-    lives: u64,
+    incarnations: u64,
     version: u64,
     prepaid: u64,
     revision: u64,
@@ -98,7 +100,7 @@
     late: Vec<LateWrite>,
     hosts: Vec<SessionHost>,
     ended: BTreeMap<String, EndedProcess>,
-    died: u64,
+    lost: u64,
     recovered: u64,
     overspent: u64,
 }
@@ -119,7 +121,7 @@
             random,
             wrong_clocks,
             now_ms: START_MS,
-            lives: 0,
+            incarnations: 0,
             version: 1,
             prepaid: FIRST_TOTAL,
             revision: 1,
@@ -127,7 +129,7 @@
             late: Vec::new(),
             hosts,
             ended: BTreeMap::new(),
-            died: 0,
+            lost: 0,
             recovered: 0,
             overspent: 0,
         }
@@ -154,7 +156,7 @@
             }
             6..=13 => self.hosts[index].cut_until_ms = now_ms + span_ms,
             14..=19 => self.hosts[index].frozen_until_ms = now_ms + span_ms,
-            20..=23 => self.hosts[index].alone_until_ms = now_ms + span_ms,
+            20..=23 => self.hosts[index].isolated_until_ms = now_ms + span_ms,
             24..=31 => self.kill(index),
             32..=37 => (0..HOSTS).for_each(|index| self.kill(index)),
             38..=40 => [0, 2, 4].into_iter().for_each(|index| self.kill(index)),
@@ -173,7 +175,7 @@
         let Some(process) = host.process.take() else {
             return;
         };
-        self.died += process.escrow.held_tokens();
+        self.lost += process.escrow.held_tokens();
         let deferred = process.escrow.held_tokens() - process.escrow.free_tokens();
         let ended = EndedProcess {
             deferred,
@@ -221,7 +223,7 @@
 
     fn change_role(&mut self, index: usize) {
         let role = match self.random.random_range(0..2) {
-            0 => EscrowRole::Keeper,
+            0 => EscrowRole::Allocator,
             _ => EscrowRole::Borrower,
         };
         if let Some(process) = &mut self.hosts[index].process {
@@ -237,7 +239,7 @@
         if host.process.is_none() {
             self.start(index);
         }
-        self.hear_clocks(index);
+        self.read_clocks(index);
         self.use_tokens(index);
         self.lend(index);
         if self.hosts[index].cut_until_ms <= now_ms
@@ -248,14 +250,14 @@
     }
 
     fn start(&mut self, index: usize) {
-        self.lives += 1;
+        self.incarnations += 1;
         let steady_ahead_ms = self.hosts[index].wall_ahead_ms;
         let now = clock_time(self.now_ms, steady_ahead_ms);
-        let name = format!("host-{index}@{}", self.lives);
+        let name = format!("host-{index}@{}", self.incarnations);
         let mut escrow = TokenEscrow::new(EscrowOptions::default(), name);
         escrow.set_config(now, &config(self.version, self.prepaid));
         escrow.set_fleet(3, HOSTS as u64);
-        escrow.set_role(&acme(), EscrowRole::Keeper);
+        escrow.set_role(&acme(), EscrowRole::Allocator);
         escrow.take_ledger(now, &acme(), self.ledger.clone(), true);
         let mut clock = FleetClock::new(now);
         clock.set_routers(HOSTS as u64);
@@ -270,22 +272,24 @@
         });
     }
 
-    /// Asks one other router for its clock; the answer takes a while on the way.
-    fn hear_clocks(&mut self, index: usize) {
+    /// Reads the clock of one other router; the answer is delayed.
+    fn read_clocks(&mut self, index: usize) {
         let other = self.random.random_range(0..HOSTS);
         let delay_ms = self.random.random_range(0..STEP_MS);
         let now_ms = self.now_ms;
-        let is_away = |host: &SessionHost| host.alone_until_ms > now_ms;
+        let is_isolated = |host: &SessionHost| host.isolated_until_ms > now_ms;
         let reading = reading_of(&self.hosts[other], now_ms);
-        let is_heard = !is_away(&self.hosts[index]) && !is_away(&self.hosts[other]);
+        let is_reachable = !is_isolated(&self.hosts[index]) && !is_isolated(&self.hosts[other]);
         let own = reading_of(&self.hosts[index], now_ms).expect("a running process");
         let process = self.process(index);
         let now = process.now(now_ms);
-        process.clock.note(host_name(index), now, now, own);
-        if let Some(reading) = reading.filter(|_| is_heard && other != index) {
-            let asked_at = ClockTime::from_millis(now.as_millis() - delay_ms);
-            let asked_at = asked_at.max(process.started_at);
-            process.clock.note(host_name(other), asked_at, now, reading);
+        process.clock.record(host_name(index), now, now, own);
+        if let Some(reading) = reading.filter(|_| is_reachable && other != index) {
+            let requested_at = ClockTime::from_millis(now.as_millis() - delay_ms);
+            let requested_at = requested_at.max(process.started_at);
+            process
+                .clock
+                .record(host_name(other), requested_at, now, reading);
         }
         let bounds = process.clock.bounds(now);
         process.escrow.set_clock(bounds);
@@ -331,7 +335,7 @@
         let now_ms = self.now_ms;
         let lender = self.process(index);
         let now = lender.now(now_ms);
-        lender.escrow.note_request(now, &acme(), request);
+        lender.escrow.record_request(now, &acme(), request);
         if let LoanReply::Lent(lent) = lender.escrow.lend(now, &acme(), request) {
             let borrower = self.process(other);
             borrower.escrow.receive(&acme(), request, lent);
@@ -392,11 +396,12 @@
         }
     }
 
-    /// The store does a write: what came back is compared with what the processes before had not used.
+    /// Applies a write in the store, and compares the recovered tokens with those that the earlier
+    /// processes had not used.
     fn put(&mut self, change: LedgerChange, next: BudgetLedger) {
-        let is_kept = |router: &str| next.writers.iter().any(|mark| mark.router == router);
+        let is_present = |router: &str| next.writers.iter().any(|mark| mark.router == router);
         let settled = self.ledger.writers.iter();
-        let settled = settled.filter(|mark| !is_kept(&mark.router));
+        let settled = settled.filter(|mark| !is_present(&mark.router));
         let unused: u64 = settled
             .map(|mark| self.unused(&mark.router, mark.number))
             .sum();
@@ -407,7 +412,8 @@
         self.revision += 1;
     }
 
-    /// What a process that ended had not used of what its mark in the ledger says to be deferred.
+    /// Returns the tokens of an ended process that its ledger entry marks as deferred and that it
+    /// had not used.
     fn unused(&self, router: &str, number: u64) -> u64 {
         let ended = self.ended[router];
         let unknown = ended
@@ -448,7 +454,7 @@
     HostName::new(format!("host-{index}"))
 }
 
-/// What a router answers that runs.
+/// Returns the reading that a running router answers.
 fn reading_of(host: &SessionHost, now_ms: u64) -> Option<ClockReading> {
     let process = host.process.as_ref()?;
     let steady = process.now(now_ms);
@@ -456,10 +462,10 @@
     (host.frozen_until_ms <= now_ms).then_some(ClockReading::of(steady, wall))
 }
 
-/// Tokens that died, that came back, and of these the ones that calls could have used before.
+/// Tokens lost, tokens recovered, and the part of the latter that calls could have used before.
 #[derive(Clone, Copy, Debug, Default)]
 struct SessionTotals {
-    died: u64,
+    lost: u64,
     recovered: u64,
     overspent: u64,
 }
@@ -469,42 +475,44 @@
     for seed in seeds {
         let mut session = DeferredSession::new(seed, wrong_clocks);
         session.run();
-        totals.died += session.died;
+        totals.lost += session.lost;
         totals.recovered += session.recovered;
         totals.overspent += session.overspent;
     }
     totals
 }
 
-/// How many sessions are played: `BEECHSADDLE_SEEDS`, or few.
+/// Number of sessions: `BEECHSADDLE_SEEDS`, or a small default.
 fn seed_count() -> u64 {
     let count = std::env::var("BEECHSADDLE_SEEDS").ok();
     count.and_then(|count| count.parse().ok()).unwrap_or(300)
 }
 
-/// Guards against tokens that come back to the ledger after a death though calls have used them.
+/// Guards against tokens that are returned to the ledger after a loss although calls have used
+/// them.
 #[test]
-fn deferred_sessions_give_back_what_was_not_used() {
+fn deferred_sessions_return_only_unused_tokens() {
     let totals = run_sessions(0..seed_count(), WrongClocks::Fewer);
     assert_eq!(totals.overspent, 0, "{totals:?}");
     assert!(totals.recovered > 0, "{totals:?}");
 }
 
-/// What the design rests on: with all clocks wrong at once more comes back than was left.
+/// Shows the assumption of the design: if all clocks are wrong at once, more is recovered than was
+/// unused.
 #[test]
-fn deferred_sessions_rest_on_half_of_the_clocks() {
+fn deferred_sessions_overspend_if_all_clocks_are_wrong() {
     let totals = run_sessions(0..seed_count(), WrongClocks::All);
     assert!(totals.overspent > 0, "{totals:?}");
 }
 
-/// Guards against deferred tokens that are used while a write that names them may still be done.
+/// Guards against deferred tokens that are used while a write that names them may still be applied.
 #[test]
-fn withdraw_after_an_unanswered_write_changes_nothing() {
+fn withdraw_after_unanswered_write_keeps_the_change() {
     let now = ClockTime::from_millis(START_MS);
     let mut escrow = TokenEscrow::new(EscrowOptions::default(), "host-1@1");
     escrow.set_config(now, &config(1, FIRST_TOTAL));
     escrow.set_fleet(3, 3);
-    escrow.set_role(&acme(), EscrowRole::Keeper);
+    escrow.set_role(&acme(), EscrowRole::Allocator);
     escrow.take_ledger(now, &acme(), BudgetLedger::default(), true);
     let change = escrow.plan(now, &acme());
     assert_eq!(escrow.plan(now, &acme()), change);
--- a/crates/beechsaddle-core/tests/gateway_escrow.rs
+++ b/crates/beechsaddle-core/tests/gateway_escrow.rs
@@ -33,11 +33,11 @@
     }
 }
 
-fn keeper(prepaid: u64) -> TokenEscrow {
+fn allocator(prepaid: u64) -> TokenEscrow {
     let mut escrow = TokenEscrow::new(EscrowOptions::default(), "host@1");
     escrow.set_config(START, &config(1, prepaid));
     escrow.set_fleet(3, 3);
-    escrow.set_role(&acme(), EscrowRole::Keeper);
+    escrow.set_role(&acme(), EscrowRole::Allocator);
     escrow.take_ledger(START, &acme(), BudgetLedger::default(), true);
     escrow
 }
@@ -52,14 +52,14 @@
     }
 }
 
-/// A call that uses all that is reserved for it.
+/// Runs a call that uses all its reserved tokens.
 fn use_tokens(escrow: &mut TokenEscrow, tokens: u64) {
     let outcome = escrow.try_reserve(START, &acme(), tokens);
     assert_eq!(outcome, ReserveOutcome::Reserved);
     escrow.settle(START, &acme(), tokens, tokens);
 }
 
-/// Writes what is due and gives the change.
+/// Writes the due change and returns it.
 fn write_due(escrow: &mut TokenEscrow, now: ClockTime) -> Option<LedgerChange> {
     let change = escrow.plan(now, &acme())?;
     let ledger = escrow.ledger(&acme()).expect("a ledger");
@@ -69,17 +69,17 @@
 }
 
 #[test]
-fn reserve_without_total_is_free() {
+fn reserve_without_total_is_unlimited() {
     let mut escrow = TokenEscrow::new(EscrowOptions::default(), "host@1");
     let outcome = escrow.try_reserve(START, &acme(), 1_000_000);
     assert_eq!(outcome, ReserveOutcome::Reserved);
 }
 
 #[test]
-fn reserve_before_the_ledger_is_known_waits() {
+fn reserve_before_ledger_is_read_is_short() {
     let mut escrow = TokenEscrow::new(EscrowOptions::default(), "host@1");
     escrow.set_config(START, &config(1, 1_000));
-    escrow.set_role(&acme(), EscrowRole::Keeper);
+    escrow.set_role(&acme(), EscrowRole::Allocator);
     assert_eq!(
         escrow.try_reserve(START, &acme(), 10),
         ReserveOutcome::Short
@@ -89,8 +89,8 @@
 }
 
 #[test]
-fn reserve_settle_frees_the_unused() {
-    let mut escrow = keeper(10_000);
+fn settle_frees_unused_tokens() {
+    let mut escrow = allocator(10_000);
     write_due(&mut escrow, START);
     let held = escrow.free_tokens();
     assert!(held > 0);
@@ -105,7 +105,7 @@
 
 #[test]
 fn plan_waiting_call_is_urgent_and_covered() {
-    let mut escrow = keeper(10_000);
+    let mut escrow = allocator(10_000);
     assert_eq!(
         escrow.try_reserve(START, &acme(), 5_000),
         ReserveOutcome::Short
@@ -121,12 +121,11 @@
     assert!(!escrow.is_urgent(START, &acme()));
 }
 
-/// What is left is less than one request. While other routers may still give something back the
-/// request waits; after that it is refused for good, until somebody gives back or the total is
-/// raised.
+/// Less is left than one request needs. It waits while other routers may still return tokens; after
+/// that it is refused for good, until a router returns some or the total is raised.
 #[test]
-fn reserve_exhausted_only_after_others_gave_back() {
-    let mut escrow = keeper(10_000);
+fn reserve_exhausted_only_after_return_period() {
+    let mut escrow = allocator(10_000);
     escrow.take_ledger(START, &acme(), taken(9_900), true);
     assert_eq!(
         escrow.try_reserve(START, &acme(), 500),
@@ -150,11 +149,11 @@
     );
 }
 
-/// The ledger cannot be read for seconds, and by what was last seen of it a request does not fit.
-/// Others may have given back since: the caller must not be told that the total is used up.
+/// The ledger cannot be read for seconds, and a request does not fit its last known state. Other
+/// routers may have returned tokens since, so the request must not be refused as exhausted.
 #[test]
-fn reserve_old_ledger_is_never_exhausted() {
-    let mut escrow = keeper(10_000);
+fn reserve_stale_ledger_is_never_exhausted() {
+    let mut escrow = allocator(10_000);
     escrow.take_ledger(START, &acme(), taken(9_900), true);
     for step in 0..20 {
         let now = START.plus_ms(step * 500);
@@ -165,11 +164,11 @@
 }
 
 /// A call waits for more than is left. Nothing is taken for it: smaller calls elsewhere can use the
-/// rest, and the call is refused for good in time. The rest once went back and forth, and each time
-/// looked as if somebody had given something back.
+/// remainder, and the call is refused for good in time. Otherwise the remainder moves back and
+/// forth, and each time looks as if a router had returned tokens.
 #[test]
-fn plan_rest_that_covers_no_call_stays() {
-    let mut escrow = keeper(10_000);
+fn plan_leaves_remainder_that_covers_no_call() {
+    let mut escrow = allocator(10_000);
     escrow.take_ledger(START, &acme(), taken(9_700), true);
     escrow.begin_wait(START, &acme(), 5_000);
     assert_eq!(escrow.plan(START, &acme()), None);
@@ -178,10 +177,10 @@
     assert_eq!(change.transfer, TokenTransfer::Take(200));
 }
 
-/// A total that is lowered below what is taken has everything given back that is not promised.
+/// A total that is lowered below the taken amount has all unreserved tokens returned.
 #[test]
-fn plan_lowered_total_gives_back() {
-    let mut escrow = keeper(100_000);
+fn plan_lowered_total_returns_free_tokens() {
+    let mut escrow = allocator(100_000);
     write_due(&mut escrow, START);
     assert!(escrow.free_tokens() > 0);
     escrow.set_config(START, &config(2, 0));
@@ -190,8 +189,8 @@
 }
 
 #[test]
-fn plan_closing_gives_everything_back() {
-    let mut escrow = keeper(100_000);
+fn plan_closing_returns_all_free_tokens() {
+    let mut escrow = allocator(100_000);
     write_due(&mut escrow, START);
     escrow.try_reserve(START, &acme(), 300);
     escrow.settle(START, &acme(), 300, 120);
@@ -202,11 +201,11 @@
     assert_eq!(ledger.taken, 120);
 }
 
-/// The same change is asked for until its outcome is known, and what it gives back cannot be spent
-/// in the meantime.
+/// The same change is planned until its outcome is known, and the tokens that it returns cannot be
+/// spent in the meantime.
 #[test]
 fn plan_pending_change_is_repeated() {
-    let mut escrow = keeper(100_000);
+    let mut escrow = allocator(100_000);
     write_due(&mut escrow, START);
     escrow.close();
     let first = escrow.plan(START, &acme()).expect("a change");
@@ -218,11 +217,11 @@
     assert!(escrow.free_tokens() > 0);
 }
 
-/// The last part of a total is left, and several keepers have seen demand. None of them holds any
-/// of it in advance, so that whoever needs it finds it in the ledger.
+/// Only the last part of a total is left, and several allocators have had demand. None of them
+/// holds any of it in advance, so that any router finds it in the ledger.
 #[test]
-fn plan_last_part_is_held_by_nobody() {
-    let mut escrow = keeper(100_000);
+fn plan_last_part_stays_in_the_ledger() {
+    let mut escrow = allocator(100_000);
     for _ in 0..50 {
         escrow.begin_wait(START, &acme(), 400);
         escrow.end_wait(&acme(), 400);
@@ -233,8 +232,8 @@
 }
 
 #[test]
-fn plan_one_keeper_holds_no_more_than_its_part() {
-    let mut escrow = keeper(100_000);
+fn plan_allocator_holds_bounded_part() {
+    let mut escrow = allocator(100_000);
     for step in 0..40 {
         let now = START.plus_ms(step * 50);
         escrow.begin_wait(now, &acme(), 5_000);
@@ -249,7 +248,7 @@
 
 #[test]
 fn borrower_takes_nothing_from_the_ledger() {
-    let mut escrow = keeper(100_000);
+    let mut escrow = allocator(100_000);
     escrow.set_role(&acme(), EscrowRole::Borrower);
     escrow.begin_wait(START, &acme(), 500);
     assert_eq!(escrow.plan(START, &acme()), None);
@@ -263,12 +262,12 @@
     );
 }
 
-/// A router kept a workspace while the one that usually does was out of reach, and holds seconds of its demand.
-/// The ledger was told so: it is given back there in one write, or it would count as lost when the router ends.
-/// What is left over later goes to the keeper, and no ledger is written for it.
+/// A router allocated a workspace while the usual allocator was unreachable, and holds seconds of
+/// its demand. These are in its ledger entry and are returned there in one write, or they would
+/// count as lost when the router ends. Later surpluses go to the allocator, without a ledger write.
 #[test]
-fn borrower_gives_back_to_the_ledger_what_it_took_there() {
-    let mut escrow = keeper(1_000_000);
+fn former_allocator_returns_tokens_to_the_ledger() {
+    let mut escrow = allocator(1_000_000);
     for second in 0..20 {
         let now = START.plus_ms(second * 1_000);
         write_due(&mut escrow, now);
@@ -291,17 +290,18 @@
     assert!(escrow.begin_return(now, &acme()).is_some());
 }
 
-/// A call of a router that borrows used less than was reserved for it. Of 195 routers each gave such rests back
-/// to the ledger by itself: two of three writes of a day. They go to the keeper, with what calls used, so that
-/// its demand is what callers use and not what was lent.
+/// A call of a borrower used less than was reserved for it. If 195 routers each return such
+/// remainders to the ledger, this causes two of three writes of a day. They go to the allocator
+/// instead, together with the tokens used, so that its demand is what callers use and not what it
+/// lent.
 #[test]
-fn borrower_hands_what_is_left_over_to_the_keeper() {
-    let (mut lender, mut borrower) = (keeper(1_000_000), keeper(1_000_000));
+fn borrower_returns_surplus_to_the_allocator() {
+    let (mut lender, mut borrower) = (allocator(1_000_000), allocator(1_000_000));
     borrower.set_role(&acme(), EscrowRole::Borrower);
     lender.receive(&acme(), loan(0), 200_000);
     borrower.begin_wait(START, &acme(), 20_000);
     let request = borrower.loan_wanted(START, &acme()).expect("a request");
-    lender.note_request(START, &acme(), request);
+    lender.record_request(START, &acme(), request);
     let LoanReply::Lent(lent) = lender.lend(START, &acme(), request) else {
         panic!("nothing was lent");
     };
@@ -313,21 +313,21 @@
     );
     borrower.settle(START, &acme(), 20_000, 4_000);
     let now = START.plus_ms(8_000);
-    let handed = borrower.begin_return(now, &acme()).expect("a return");
-    assert!(handed.tokens > 10_000, "{handed:?}");
-    assert_eq!(handed.used, -16_000);
-    assert!(lender.take_back(now, &acme(), handed));
-    borrower.finish_return(&acme(), handed);
+    let returned = borrower.begin_return(now, &acme()).expect("a return");
+    assert!(returned.tokens > 10_000, "{returned:?}");
+    assert_eq!(returned.used, -16_000);
+    assert!(lender.take_back(now, &acme(), returned));
+    borrower.finish_return(&acme(), returned);
     assert_eq!(borrower.begin_return(now, &acme()), None);
 }
 
-/// A keeper lends to dozens of borrowers a second of their demand ahead, and each of them holds it. Nothing of
-/// that is used by calls yet: the keeper holds the seconds of demand that it is meant to, and not three times as
-/// much, which would die with it.
+/// An allocator lends dozens of borrowers a second of their demand in advance, which they hold.
+/// Calls have not used any of that, so the allocator holds its configured seconds of demand, and
+/// not three times as much, which would be lost with it.
 #[test]
-fn lend_ahead_is_no_demand() {
+fn lend_ahead_does_not_count_as_demand() {
     let held = |ahead| {
-        let mut lender = keeper(20_000_000);
+        let mut lender = allocator(20_000_000);
         for second in 0..30 {
             let now = START.plus_ms(second * 1_000);
             write_due(&mut lender, now);
@@ -336,7 +336,7 @@
                     ahead,
                     ..loan(10_000)
                 };
-                lender.note_request(now, &acme(), request);
+                lender.record_request(now, &acme(), request);
                 lender.lend(now, &acme(), request);
             }
         }
@@ -347,12 +347,12 @@
     assert!(stocked < usual * 17 / 10, "{stocked} held and not {usual}");
 }
 
-/// The ledger gets out of reach, and a keeper asks those of other domains for tokens. With its first question it told
-/// all that its callers had used since it started as if that were new: the other keeper took 3 million tokens where
-/// 0.2 million a second were used, out of reach of everybody else, and as much was lost where it died.
+/// The ledger becomes unreachable, and an allocator borrows from those of other domains. If its
+/// first request reported all use since its start as new, the lender would take 3 million tokens
+/// where 0.2 million per second are used: unavailable to other routers, and lost with the lender.
 #[test]
-fn keeper_that_borrows_tells_no_past_use() {
-    let mut escrow = keeper(1_000_000);
+fn borrowing_allocator_reports_no_past_use() {
+    let mut escrow = allocator(1_000_000);
     escrow.receive(&acme(), loan(0), 200_000);
     use_tokens(&mut escrow, 150_000);
     escrow.begin_wait(START, &acme(), 90_000);
@@ -360,11 +360,11 @@
     assert_eq!((request.need, request.used), (40_000, 0));
 }
 
-/// A keeper becomes a borrower, as a router that comes before it is back. What its callers used before is no demand
-/// of the one that keeps the workspace now; what they use from then on is.
+/// An allocator becomes a borrower, as the preferred router is back. Earlier use of its callers is
+/// not demand on the new allocator; use from then on is.
 #[test]
-fn former_keeper_tells_what_calls_use_from_then_on() {
-    let mut escrow = keeper(1_000_000);
+fn former_allocator_reports_use_since_role_change() {
+    let mut escrow = allocator(1_000_000);
     escrow.receive(&acme(), loan(0), 200_000);
     use_tokens(&mut escrow, 150_000);
     escrow.set_role(&acme(), EscrowRole::Borrower);
@@ -374,16 +374,16 @@
     assert_eq!(request.used, 20_000);
 }
 
-/// A keeper lends what is asked for, or as much of it as helps at least one call, or nothing.
+/// An allocator lends the requested amount, or a part that helps at least one call, or nothing.
 #[test]
-fn lend_whole_part_or_nothing() {
+fn lend_full_amount_part_or_nothing() {
     let request = |least, need| LoanRequest {
         least,
         need,
         ahead: 0,
         used: 0,
     };
-    let mut escrow = keeper(100_000);
+    let mut escrow = allocator(100_000);
     escrow.receive(&acme(), loan(1_000), 1_000);
     let held = escrow.free_tokens();
     assert_eq!(
@@ -401,11 +401,11 @@
     );
 }
 
-/// The total is used up. A keeper says so, and the borrower refuses its callers for good for as
-/// long as that word counts.
+/// The total is exhausted. The allocator reports it, and the borrower refuses its callers for good
+/// while that report is valid.
 #[test]
-fn lend_exhausted_reaches_the_borrower() {
-    let mut lender = keeper(10_000);
+fn lend_exhausted_is_applied_by_the_borrower() {
+    let mut lender = allocator(10_000);
     lender.take_ledger(START, &acme(), taken(10_000), true);
     let request = LoanRequest {
         least: 400,
@@ -416,9 +416,9 @@
     assert_eq!(lender.lend(START, &acme(), request), LoanReply::Short);
     let later = START.plus_ms(1_500);
     assert_eq!(lender.lend(later, &acme(), request), LoanReply::Exhausted);
-    let mut borrower = keeper(10_000);
+    let mut borrower = allocator(10_000);
     borrower.set_role(&acme(), EscrowRole::Borrower);
-    borrower.note_exhausted(later, &acme(), 400);
+    borrower.record_exhausted(later, &acme(), 400);
     assert_eq!(
         borrower.try_reserve(later, &acme(), 400),
         ReserveOutcome::Exhausted
@@ -434,43 +434,43 @@
     );
 }
 
-/// What happens next in a session.
+/// A step of a session.
 #[derive(Clone, Copy, Debug)]
 enum SessionStep {
-    /// A router reserves.
+    /// A router reserves tokens.
     Reserve { router: u8, tokens: u16 },
-    /// A router asks another for tokens; the answer may be lost.
+    /// A router borrows from another; the answer may be lost.
     Borrow {
         router: u8,
         lender: u8,
         tokens: u16,
         is_lost: bool,
     },
-    /// A router hands back to another what it holds too much of.
+    /// A router returns its surplus to another.
     Return {
         router: u8,
-        keeper: u8,
+        allocator: u8,
         end: ReturnEnd,
     },
     /// A router reads the ledger.
     Read { router: u8 },
-    /// A router is told of the ledger by another that wrote it, so many writes late.
-    Told { router: u8, late: u8 },
-    /// A router keeps the workspace from now on, or borrows.
-    Role { router: u8, is_keeper: bool },
-    /// A router ends its oldest call, which used a part of its bound.
+    /// A router receives the ledger from another that wrote it, `late` writes behind.
+    LedgerUpdate { router: u8, late: u8 },
+    /// A router becomes the allocator of the workspace, or a borrower.
+    Role { router: u8, is_allocator: bool },
+    /// A router ends its oldest call, which used a part of its reservation.
     Settle { router: u8, part: u8 },
-    /// A router writes, and the store does so and answers.
+    /// A router writes; the store applies the write and answers.
     Write { router: u8 },
-    /// A router writes, and the store does so without an answer.
+    /// A router writes; the store applies the write, and its answer is lost.
     WriteLost { router: u8 },
-    /// A router writes; nothing is done now, and the write may be done later.
+    /// A router writes; the store may apply the write later.
     WriteLate { router: u8 },
-    /// One of the late writes is done, if its condition still holds.
+    /// A late write is applied, if its condition still holds.
     Late { index: u8 },
     /// A router is killed, and another incarnation starts.
     Kill { router: u8 },
-    /// A router is told to end.
+    /// A router starts to shut down.
     Close { router: u8 },
     /// The operator raises the total.
     Raise { tokens: u16 },
@@ -478,14 +478,14 @@
     Wait { ms: u16 },
 }
 
-/// What becomes of tokens that are handed back.
+/// The outcome of a return of tokens.
 #[derive(Clone, Copy, Debug)]
 enum ReturnEnd {
-    /// The keeper has them and says so, or says that it does not take them.
+    /// The allocator accepts or refuses them, and its answer arrives.
     Answered,
-    /// The keeper has them, and its answer is lost.
+    /// The allocator accepts or refuses them, and its answer is lost.
     AnswerLost,
-    /// They are lost on the way.
+    /// The tokens are lost in transit.
     Lost,
 }
 
@@ -493,13 +493,13 @@
     fn arbitrary(source: &mut Gen) -> Self {
         let router = u8::arbitrary(source) % 3;
         match u8::arbitrary(source) % 27 {
-            25..=26 => SessionStep::Told {
+            25..=26 => SessionStep::LedgerUpdate {
                 router,
                 late: u8::arbitrary(source) % 4,
             },
             22..=24 => SessionStep::Return {
                 router,
-                keeper: u8::arbitrary(source) % 3,
+                allocator: u8::arbitrary(source) % 3,
                 end: match u8::arbitrary(source) % 4 {
                     0 => ReturnEnd::AnswerLost,
                     1 => ReturnEnd::Lost,
@@ -515,7 +515,7 @@
             },
             19 => SessionStep::Role {
                 router,
-                is_keeper: bool::arbitrary(source),
+                is_allocator: bool::arbitrary(source),
             },
             0..=3 => SessionStep::Reserve {
                 router,
@@ -545,7 +545,7 @@
     }
 }
 
-/// A write that was sent and may be done later.
+/// A write that was sent and may be applied later.
 #[derive(Clone, Debug)]
 struct LateWrite {
     revision: u64,
@@ -559,13 +559,13 @@
     open: Vec<u64>,
 }
 
-/// A store, three routers, and what was spent.
+/// A store, three routers, and the tokens spent.
 #[derive(Debug)]
 struct EscrowSession {
     now: ClockTime,
     prepaid: u64,
     version: u64,
-    lives: u64,
+    incarnations: u64,
     revision: u64,
     ledger: BudgetLedger,
     /// All ledgers that were written, the first at revision 1.
@@ -581,7 +581,7 @@
             now: START,
             prepaid: 8_000,
             version: 1,
-            lives: 0,
+            incarnations: 0,
             revision: 1,
             ledger: BudgetLedger::default(),
             written: vec![BudgetLedger::default()],
@@ -594,12 +594,12 @@
     }
 
     fn start(&mut self, number: u8) {
-        self.lives += 1;
-        let name = format!("host-{number}@{}", self.lives);
+        self.incarnations += 1;
+        let name = format!("host-{number}@{}", self.incarnations);
         let mut escrow = TokenEscrow::new(EscrowOptions::default(), name);
         escrow.set_config(self.now, &config(self.version, self.prepaid));
         escrow.set_fleet(3, 3);
-        escrow.set_role(&acme(), EscrowRole::Keeper);
+        escrow.set_role(&acme(), EscrowRole::Allocator);
         escrow.take_ledger(self.now, &acme(), self.ledger.clone(), true);
         let router = SessionRouter {
             escrow,
@@ -620,14 +620,17 @@
             } => self.borrow(router, lender, tokens.into(), is_lost),
             SessionStep::Return {
                 router,
-                keeper,
+                allocator,
                 end,
-            } => self.hand_back(router, keeper, end),
+            } => self.hand_back(router, allocator, end),
             SessionStep::Read { router } => self.read(router),
-            SessionStep::Told { router, late } => self.tell(router, late),
-            SessionStep::Role { router, is_keeper } => {
-                let role = match is_keeper {
-                    true => EscrowRole::Keeper,
+            SessionStep::LedgerUpdate { router, late } => self.deliver_update(router, late),
+            SessionStep::Role {
+                router,
+                is_allocator,
+            } => {
+                let role = match is_allocator {
+                    true => EscrowRole::Allocator,
                     false => EscrowRole::Borrower,
                 };
                 self.router(router).escrow.set_role(&acme(), role);
@@ -673,7 +676,7 @@
         };
         let now = self.now;
         let lender = &mut self.router(lender).escrow;
-        lender.note_request(now, &acme(), request);
+        lender.record_request(now, &acme(), request);
         let reply = lender.lend(now, &acme(), request);
         if let LoanReply::Lent(lent) = reply
             && !is_lost
@@ -682,29 +685,31 @@
         }
     }
 
-    fn hand_back(&mut self, number: u8, keeper: u8, end: ReturnEnd) {
+    fn hand_back(&mut self, number: u8, allocator: u8, end: ReturnEnd) {
         let now = self.now;
-        if number == keeper {
+        if number == allocator {
             return;
         }
-        let Some(handed) = self.router(number).escrow.begin_return(now, &acme()) else {
+        let Some(returned) = self.router(number).escrow.begin_return(now, &acme()) else {
             return;
         };
         let is_taken = match end {
-            ReturnEnd::Answered | ReturnEnd::AnswerLost => self.take_back(keeper, handed),
+            ReturnEnd::Answered | ReturnEnd::AnswerLost => self.take_back(allocator, returned),
             ReturnEnd::Lost => false,
         };
         let escrow = &mut self.router(number).escrow;
         match (end, is_taken) {
-            (ReturnEnd::Answered, true) => escrow.finish_return(&acme(), handed),
-            (ReturnEnd::Answered, false) => escrow.undo_return(&acme(), handed),
-            (ReturnEnd::AnswerLost | ReturnEnd::Lost, _) => escrow.lose_return(&acme(), handed),
+            (ReturnEnd::Answered, true) => escrow.finish_return(&acme(), returned),
+            (ReturnEnd::Answered, false) => escrow.undo_return(&acme(), returned),
+            (ReturnEnd::AnswerLost | ReturnEnd::Lost, _) => escrow.lose_return(&acme(), returned),
         }
     }
 
-    fn take_back(&mut self, keeper: u8, handed: LoanReturn) -> bool {
+    fn take_back(&mut self, allocator: u8, returned: LoanReturn) -> bool {
         let now = self.now;
-        self.router(keeper).escrow.take_back(now, &acme(), handed)
+        self.router(allocator)
+            .escrow
+            .take_back(now, &acme(), returned)
     }
 
     fn settle(&mut self, number: u8, part: u8) {
@@ -719,7 +724,7 @@
         self.spent += used;
     }
 
-    /// The calls of a killed router may have used all that was reserved for them.
+    /// The calls of a killed router may have used all their reserved tokens.
     fn kill(&mut self, number: u8) {
         let open: u64 = self.router(number).open.iter().sum();
         self.spent += open;
@@ -730,7 +735,7 @@
         self.prepaid += tokens;
         self.version += 1;
         let (now, config) = (self.now, config(self.version, self.prepaid));
-        // One router hears of it later, as it is cut off.
+        // Router 0 is partitioned and receives the change later.
         for (number, router) in &mut self.routers {
             if *number != 0 {
                 router.escrow.set_config(now, &config);
@@ -750,7 +755,7 @@
         let next = base.with_change(&name, change);
         if router.revision != revision {
             if is_answered {
-                // 409 with the object as it is.
+                // The store answers 409 with the present object.
                 router.revision = revision;
                 match stored.has_change(&name, change.number) {
                     true => router.escrow.commit(now, &acme(), stored),
@@ -778,17 +783,17 @@
         self.revision += 1;
     }
 
-    /// What is no newer than what the router knows says nothing to it.
-    fn tell(&mut self, number: u8, late: u8) {
-        let told = self.revision.saturating_sub(late.into()).max(1);
+    /// Ignores an update that is no newer than the ledger which the router knows.
+    fn deliver_update(&mut self, number: u8, late: u8) {
+        let updated_to = self.revision.saturating_sub(late.into()).max(1);
         let now = self.now;
-        if told <= self.router(number).revision {
+        if updated_to <= self.router(number).revision {
             return;
         }
-        let ledger = self.written[told as usize - 1].clone();
+        let ledger = self.written[updated_to as usize - 1].clone();
         let router = self.router(number);
         router.escrow.take_ledger(now, &acme(), ledger, true);
-        router.revision = told;
+        router.revision = updated_to;
     }
 
     fn read(&mut self, number: u8) {
@@ -809,7 +814,7 @@
         }
     }
 
-    /// The most that can be spent from here on without another write.
+    /// Returns the most that can be spent from here on without another write.
     fn exposure(&self) -> u64 {
         let routers = self.routers.values();
         let exposed =
@@ -818,9 +823,10 @@
     }
 }
 
-/// Routers reserve, settle, write, read, are told of writes late, lend, hand back, are killed and told to end; writes and loans are lost, writes
-/// are late or overtaken, and the total is raised. At no moment may what was spent and what can still be spent without
-/// asking exceed what the ledger says is taken, nor that the total.
+/// Routers reserve, settle, write, read, receive late updates, lend, return tokens, are killed and
+/// shut down; writes and loans are lost, writes are late or overtaken, and the total is raised. The
+/// tokens spent, plus those that can be spent without another write, never exceed the taken amount
+/// in the ledger, which never exceeds the total.
 #[test]
 fn escrow_random_sessions_never_overspend() {
     fn holds(steps: Vec<SessionStep>) -> bool {
--- a/crates/beechsaddle-core/tests/gateway_fleet_clock.rs
+++ b/crates/beechsaddle-core/tests/gateway_fleet_clock.rs
@@ -1,9 +1,9 @@
-//! Tests of what the clocks of a fleet say of the time, and of when a process started.
+//! Tests of the bounds that the clocks of a fleet give on the time, and on the start of a process.
 
 use beechsaddle_core::gateway::{ClockReading, FleetClock, StartBound};
 use beechsaddle_core::prelude::*;
 
-/// When the process started, by its steady clock.
+/// The start of the process, by its steady clock.
 const START: ClockTime = ClockTime::from_millis(1_000_000);
 
 fn reading(at_ms: u64) -> ClockReading {
@@ -21,9 +21,9 @@
     HostName::new(format!("host-{number}"))
 }
 
-/// Guards against a bound that half of the fleet or fewer vouch for.
+/// Guards against a bound from half of the fleet or fewer.
 #[test]
-fn bounds_need_more_than_half_of_the_fleet() {
+fn bounds_need_majority_of_the_fleet() {
     let mut clock = clock(6);
     for number in 0..4 {
         let bounds = clock.bounds(START);
@@ -31,7 +31,7 @@
             (bounds.earliest, bounds.started),
             (None, StartBound::Awaited)
         );
-        clock.note(host(number), START, START, reading(5_000 + number));
+        clock.record(host(number), START, START, reading(5_000 + number));
     }
     let bounds = clock.bounds(START);
     assert_eq!(bounds.earliest, Some(ClockTime::from_millis(5_000)));
@@ -45,8 +45,8 @@
 #[test]
 fn bounds_of_a_small_fleet_are_unknown() {
     let mut clock = clock(2);
-    clock.note(host(0), START, START, reading(5_000));
-    clock.note(host(1), START, START, reading(5_000));
+    clock.record(host(0), START, START, reading(5_000));
+    clock.record(host(1), START, START, reading(5_000));
     assert_eq!(clock.bounds(START).earliest, None);
     assert_eq!(
         clock.bounds(START.plus_ms(10_000)).started,
@@ -54,22 +54,22 @@
     );
 }
 
-/// Guards against an unlisted fleet, of which any few clocks would be more than half.
+/// Guards against a fleet that is not listed yet, of which any few clocks would be a majority.
 #[test]
 fn bounds_before_the_routers_are_listed_are_unknown() {
     let mut clock = FleetClock::new(START);
-    (0..9).for_each(|number| clock.note(host(number), START, START, reading(5_000)));
+    (0..9).for_each(|number| clock.record(host(number), START, START, reading(5_000)));
     assert_eq!(clock.bounds(START).earliest, None);
 }
 
-/// Guards against a start that looks late as the clocks were heard late, and against one that looks early as an
-/// answer took long.
+/// Guards against a start that appears late because the clocks were read late, and against one that
+/// appears early because an answer took long.
 #[test]
-fn bounds_started_counts_from_when_clocks_were_asked() {
+fn bounds_started_counts_from_request_time() {
     let mut clock = clock(3);
-    let (asked_at, heard_at) = (START.plus_ms(1_000), START.plus_ms(1_300));
-    (0..3).for_each(|number| clock.note(host(number), asked_at, heard_at, reading(6_200)));
-    let bounds = clock.bounds(heard_at.plus_ms(500));
+    let (requested_at, received_at) = (START.plus_ms(1_000), START.plus_ms(1_300));
+    (0..3).for_each(|number| clock.record(host(number), requested_at, received_at, reading(6_200)));
+    let bounds = clock.bounds(received_at.plus_ms(500));
     assert_eq!(
         bounds.started,
         StartBound::By(ClockTime::from_millis(5_200))
@@ -77,17 +77,18 @@
     assert_eq!(bounds.earliest, Some(ClockTime::from_millis(6_700)));
 }
 
-/// Guards against clocks that were heard long ago and may have been stepped since.
+/// Guards against readings so old that the clock may have been stepped since.
 #[test]
-fn bounds_leave_out_old_readings() {
+fn bounds_exclude_expired_readings() {
     let mut clock = clock(3);
-    (0..3).for_each(|number| clock.note(host(number), START, START, reading(5_000)));
+    (0..3).for_each(|number| clock.record(host(number), START, START, reading(5_000)));
     let later = START.plus_ms(60_000);
-    assert!(clock.wants(later, &host(0)));
+    assert!(clock.needs_reading(later, &host(0)));
     assert_eq!(clock.bounds(later).earliest, None);
 }
 
-/// Guards against a time that is ahead while all wall clocks are, and back again before the next process starts.
+/// Guards against a time that is ahead while all wall clocks are, and back again before the next
+/// process starts.
 #[test]
 fn reading_of_a_stepped_wall_clock_bounds_both() {
     let (steady, wall) = (ClockTime::from_millis(5_000), ClockTime::from_millis(7_400));
--- a/crates/beechsaddle-core/tests/gateway_limited_choice.rs
+++ b/crates/beechsaddle-core/tests/gateway_limited_choice.rs
@@ -1,41 +1,44 @@
-//! Tests of the choice between targets that name limits.
+//! Tests of the choice between targets that announce limits.
 
 mod choice_support;
 
 use choice_support::{NAMES, START, choose, chosen, roster, stats};
 
-/// Guards against a target in need that stays the place of what many requests share.
+/// Guards against a target short of capacity that stays the affinity target of parts which many
+/// requests share.
 #[test]
-fn limited_target_is_the_place_of_nothing() {
+fn limited_target_has_no_affinity() {
     for shared in ["a", "b", "c", "d"] {
         let mut roster = roster();
-        let home = chosen(&roster, Some(shared), None);
-        stats(&mut roster, &home)
+        let affinity = chosen(&roster, Some(shared), None);
+        stats(&mut roster, &affinity)
             .limit
-            .note(START, Some(1.0), START);
+            .record(START, Some(1.0), START);
         let choice = choose(&roster, Some(shared), None).expect("a choice");
-        assert_ne!(choice.target.as_str(), home);
-        assert!(choice.is_home);
+        assert_ne!(choice.target.as_str(), affinity);
+        assert!(choice.is_affinity_target);
     }
     let mut roster = roster();
     for name in NAMES {
-        stats(&mut roster, name).limit.note(START, Some(1.0), START);
+        stats(&mut roster, name)
+            .limit
+            .record(START, Some(1.0), START);
     }
     let choice = choose(&roster, Some("a"), None).expect("a choice");
     assert!(
-        choice.is_home,
-        "where all have limits one is the place again"
+        choice.is_affinity_target,
+        "with limits on all targets, one of them has affinity"
     );
 }
 
-/// Guards against a target that gets more than it takes as no other is left.
+/// Guards against a target that receives more than its limit because no other is left.
 #[test]
 fn paused_target_is_never_chosen() {
     let mut roster = roster();
     for name in NAMES {
         let stats = stats(&mut roster, name);
-        stats.limit.note(START, Some(1.0), START);
-        stats.limit.note_refused(START, 500);
+        stats.limit.record(START, Some(1.0), START);
+        stats.limit.record_refused(START, 500);
         stats.eject(START);
     }
     assert_eq!(choose(&roster, Some("a"), None), None);
--- a/crates/beechsaddle-core/tests/gateway_link.rs
+++ b/crates/beechsaddle-core/tests/gateway_link.rs
@@ -1,19 +1,20 @@
-//! Tests of how a router on a narrow link leaves the rotation, against links of a fixed rate.
+//! Tests of how a router on a narrow link leaves the rotation, with links of a fixed rate.
 
-use beechsaddle_core::gateway::{LinkMeter, LinkWay, RotationGate};
+use beechsaddle_core::gateway::{LinkDirection, LinkMeter, RotationGate};
 use beechsaddle_core::prelude::*;
 
 /// The narrow links of a fleet of 86 routers: 10 Mbit/s.
 const LINK_MBPS: f64 = 10.0;
 const LINK_BYTES_PER_MS: f64 = LINK_MBPS * 125.0;
-/// Its hottest caller: 150 calls a second whose bodies have 8 KB, as much as one such link carries.
+/// The caller with the highest load: 150 calls a second whose bodies have 8 KB, as much as one such
+/// link carries.
 const CALL_SPAN_MS: u64 = 7;
 const BODY_BYTES: u64 = 8_000;
 const SECONDS: u64 = 40;
-/// How long the balancer takes to notice: two questions, one a second.
+/// The delay until the balancer reacts: two health checks, one a second.
 const NOTICE_MS: u64 = 2_000;
 
-/// One router: its link, and what waits on it.
+/// A router, its link, and the bytes queued on it.
 struct NarrowRouter {
     meter: LinkMeter,
     gate: RotationGate,
@@ -33,31 +34,32 @@
         }
     }
 
-    /// A call's body joins the queue and is counted as it comes in; events of the answer follow. Tells
-    /// how long something would wait, in milliseconds.
+    /// Adds a call's body to the queue and to the meter, and its answer's events to the queue;
+    /// returns the queueing delay in milliseconds.
     fn take_call(&mut self, now: ClockTime) -> f64 {
         let passed = now.since(self.updated_at) as f64 * LINK_BYTES_PER_MS;
         self.queued_bytes = (self.queued_bytes - passed).max(0.0);
         self.updated_at = now;
         self.queued_bytes += (BODY_BYTES + 1_500) as f64;
-        self.meter.note_message(now, LinkWay::In, BODY_BYTES);
+        self.meter
+            .record_message(now, LinkDirection::In, BODY_BYTES);
         if self.gate.note(now, self.meter.is_full(now)) {
             self.changed_at = now;
         }
         self.queued_bytes / LINK_BYTES_PER_MS
     }
 
-    /// Whether the balancer sends it callers.
+    /// Whether the balancer sends callers to the router.
     fn is_used(&self, now: ClockTime) -> bool {
-        !self.gate.is_out(now) || now.since(self.changed_at) < NOTICE_MS
+        !self.gate.is_out_of_rotation(now) || now.since(self.changed_at) < NOTICE_MS
     }
 }
 
 const START: ClockTime = ClockTime::from_millis(1_000_000);
 
-/// Plays the hot caller over routers in the order of its hash; tells how many calls met a queue of over
-/// half a second.
-fn play(mut routers: Vec<NarrowRouter>, has_gate: bool) -> u64 {
+/// Simulates the caller over routers in the order of its hash; returns the number of calls that met
+/// a queueing delay of over half a second.
+fn simulate(mut routers: Vec<NarrowRouter>, has_gate: bool) -> u64 {
     let mut late = 0;
     for call in 0..SECONDS * 1_000 / CALL_SPAN_MS {
         let now = START.plus_ms(call * CALL_SPAN_MS);
@@ -68,23 +70,23 @@
     late
 }
 
-/// The hash of one caller falls on a router whose link it fills. While the router stays in rotation the
-/// queue on its link grows for as long as the caller sends; when it leaves for a while, the caller moves
-/// on after the seconds that the balancer needs, and each router has time to drain.
+/// The hash of one caller selects a router whose link it fills. While the router stays in rotation,
+/// the queue on its link grows for as long as the caller sends. If it leaves for a time, the caller
+/// moves on after the seconds that the balancer needs, and each router has time to drain.
 #[test]
 fn narrow_link_leaves_the_rotation() {
     let routers = || (0..6).map(|_| NarrowRouter::new()).collect();
     let calls = SECONDS * 1_000 / CALL_SPAN_MS;
-    let stays = play(routers(), false);
+    let stays = simulate(routers(), false);
     assert!(stays > calls * 8 / 10, "{stays} of {calls}");
-    let leaves = play(routers(), true);
+    let leaves = simulate(routers(), true);
     assert!(leaves < calls * 5 / 10, "{leaves} of {calls}");
 }
 
-/// A load that a link carries, and one long prompt on a quiet link, take no router out of rotation;
-/// nor does any load where the link is not known.
+/// A load within the link's capacity, or one long prompt on an idle link, takes no router out of
+/// rotation; nor does any load if the capacity is not known.
 #[test]
-fn carried_load_stays() {
+fn load_within_capacity_stays_in_rotation() {
     for (mbps, calls_a_second, body_bytes) in [
         (Some(LINK_MBPS), 60, 8_000),
         (Some(LINK_MBPS), 1, 400_000),
@@ -94,16 +96,16 @@
         let mut gate = RotationGate::default();
         for call in 0..calls_a_second * 20 {
             let now = START.plus_ms(call * 1_000 / calls_a_second);
-            meter.note_message(now, LinkWay::In, body_bytes);
+            meter.record_message(now, LinkDirection::In, body_bytes);
             assert!(!gate.note(now, meter.is_full(now)), "{mbps:?} {call}");
         }
     }
 }
 
-/// The caller comes back with the rotation each time. Each stay outside is longer than the last, and
-/// after a minute of calm the first is short again.
+/// The caller returns when the router returns to the rotation. Each withdrawal is longer than the
+/// last, and after a minute without a full link the first is short again.
 #[test]
-fn stays_outside_grow() {
+fn withdrawals_from_rotation_grow() {
     let mut gate = RotationGate::default();
     let mut spans = Vec::new();
     let mut now = START;
@@ -112,7 +114,7 @@
             now = now.plus_ms(100);
         }
         let left_at = now;
-        while gate.is_out(now) {
+        while gate.is_out_of_rotation(now) {
             now = now.plus_ms(100);
         }
         spans.push(now.since(left_at));
@@ -124,7 +126,7 @@
         now = now.plus_ms(100);
     }
     let left_at = now;
-    while gate.is_out(now) {
+    while gate.is_out_of_rotation(now) {
         now = now.plus_ms(100);
     }
     assert_eq!(now.since(left_at), spans[0]);
