--- a/crates/beechsaddle-core/tests/gateway_losses.rs
+++ b/crates/beechsaddle-core/tests/gateway_losses.rs
@@ -1,4 +1,5 @@
-//! Tests of what a workspace loses when routers die, with one keeper in each of three domains and no network.
+//! Tests of the tokens that a workspace loses with terminated routers, with one allocator in each
+//! of three domains and no network.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +12,13 @@
 
 const START: ClockTime = ClockTime::from_millis(1_000_000);
 
-/// Between two calls, in milliseconds.
+/// The time between two calls, in milliseconds.
 const CALL_SPAN_MS: u64 = 10;
-/// What a call uses, in tokens.
+/// The tokens that a call uses.
 const CALL_TOKENS: u64 = 1_000;
-/// What callers use a second, in tokens.
+/// The demand of callers, in tokens per second.
 const DEMAND: u64 = CALL_TOKENS * 1_000 / CALL_SPAN_MS;
-/// The shortest time between two writes of a keeper that no call waits for, in milliseconds.
+/// The shortest time between two writes of an allocator that no call waits for, in milliseconds.
 const WRITE_SPAN_MS: u64 = 2_500;
 
 fn acme() -> WorkspaceName {
@@ -35,8 +36,8 @@
     config
 }
 
-/// A keeper of one domain.
-struct DomainKeeper {
+/// The allocator of one domain.
+struct DomainAllocator {
     escrow: TokenEscrow,
     written_at: ClockTime,
     started_at: ClockTime,
@@ -49,17 +50,17 @@
     served: u64,
 }
 
-/// A ledger, its keepers, and callers that come at a steady rate.
+/// A ledger, its allocators, and callers with a steady rate.
 struct LossyFleet {
     now: ClockTime,
     prepaid: u64,
     ledger: BudgetLedger,
-    is_store_away: bool,
-    keepers: Vec<DomainKeeper>,
-    lives: u64,
+    is_store_unavailable: bool,
+    allocators: Vec<DomainAllocator>,
+    incarnations: u64,
     lost: u64,
     seconds: BTreeMap<u64, SecondCount>,
-    /// The domains where callers are.
+    /// The domains of the callers.
     calling: Vec<usize>,
 }
 
@@ -69,44 +70,44 @@
             now: START,
             prepaid,
             ledger: BudgetLedger::default(),
-            is_store_away: false,
-            keepers: Vec::new(),
-            lives: 0,
+            is_store_unavailable: false,
+            allocators: Vec::new(),
+            incarnations: 0,
             lost: 0,
             seconds: BTreeMap::new(),
             calling: vec![0, 1, 2],
         };
-        fleet.keepers = (0..3).map(|index| fleet.start(index)).collect();
+        fleet.allocators = (0..3).map(|index| fleet.start(index)).collect();
         fleet
     }
 
-    fn start(&mut self, index: usize) -> DomainKeeper {
-        self.lives += 1;
-        let name = format!("host-{index}@{}", self.lives);
+    fn start(&mut self, index: usize) -> DomainAllocator {
+        self.incarnations += 1;
+        let name = format!("host-{index}@{}", self.incarnations);
         let mut escrow = TokenEscrow::new(EscrowOptions::default(), name);
         escrow.set_config(self.now, &config(self.prepaid));
         escrow.set_fleet(3, 3);
-        escrow.set_role(&acme(), EscrowRole::Keeper);
+        escrow.set_role(&acme(), EscrowRole::Allocator);
         escrow.take_ledger(self.now, &acme(), self.ledger.clone(), true);
-        DomainKeeper {
+        DomainAllocator {
             escrow,
             written_at: ClockTime::ZERO,
             started_at: self.now,
         }
     }
 
-    /// The keepers at `dying` lose power and start again with nothing.
-    fn lose(&mut self, dying: impl IntoIterator<Item = usize>) {
-        for index in dying {
-            self.lost += self.keepers[index].escrow.held_tokens();
-            self.keepers[index] = self.start(index);
+    /// The allocators at `indexes` lose power and restart without tokens.
+    fn lose(&mut self, indexes: impl IntoIterator<Item = usize>) {
+        for index in indexes {
+            self.lost += self.allocators[index].escrow.held_tokens();
+            self.allocators[index] = self.start(index);
         }
     }
 
     fn run_until(&mut self, second: u64) {
         while self.second() < second {
             self.call();
-            (0..self.keepers.len()).for_each(|index| self.tick(index));
+            (0..self.allocators.len()).for_each(|index| self.tick(index));
             self.now = self.now.plus_ms(CALL_SPAN_MS);
         }
     }
@@ -116,8 +117,8 @@
     }
 
     fn call(&mut self) {
-        let turn = (self.now.since(START) / CALL_SPAN_MS) as usize;
-        let index = self.calling[turn % self.calling.len()];
+        let call_index = (self.now.since(START) / CALL_SPAN_MS) as usize;
+        let index = self.calling[call_index % self.calling.len()];
         let is_served = self.reserve(index) || self.reserve_by_ledger(index);
         let second = self.second();
         let count = self.seconds.entry(second).or_default();
@@ -125,74 +126,74 @@
         let now = self.now;
         if is_served {
             count.served += 1;
-            let escrow = &mut self.keepers[index].escrow;
+            let escrow = &mut self.allocators[index].escrow;
             escrow.settle(now, &acme(), CALL_TOKENS, CALL_TOKENS);
         }
     }
 
     fn reserve(&mut self, index: usize) -> bool {
-        let escrow = &mut self.keepers[index].escrow;
+        let escrow = &mut self.allocators[index].escrow;
         let outcome = escrow.try_reserve(self.now, &acme(), CALL_TOKENS);
         outcome == ReserveOutcome::Reserved
     }
 
     fn reserve_by_ledger(&mut self, index: usize) -> bool {
         let now = self.now;
-        let escrow = &mut self.keepers[index].escrow;
+        let escrow = &mut self.allocators[index].escrow;
         escrow.begin_wait(now, &acme(), CALL_TOKENS);
         self.write(index);
         self.borrow_remainders(index);
-        self.keepers[index].escrow.end_wait(&acme(), CALL_TOKENS);
+        self.allocators[index].escrow.end_wait(&acme(), CALL_TOKENS);
         self.reserve(index)
     }
 
-    /// Where the ledger has too little the other keepers are asked for what they have left.
+    /// Borrows from the other allocators what they have left if the ledger has too little.
     fn borrow_remainders(&mut self, index: usize) {
         let now = self.now;
-        for lender in 0..self.keepers.len() {
-            let borrower = &self.keepers[index].escrow;
+        for lender in 0..self.allocators.len() {
+            let borrower = &self.allocators[index].escrow;
             let request = borrower.loan_wanted(now, &acme());
-            let Some(request) = request.filter(|_| borrower.outgrows_ledger(&acme())) else {
+            let Some(request) = request.filter(|_| borrower.is_uncovered(&acme())) else {
                 return;
             };
             if lender == index {
                 continue;
             }
-            let lender = &mut self.keepers[lender].escrow;
-            lender.note_request(now, &acme(), request);
+            let lender = &mut self.allocators[lender].escrow;
+            lender.record_request(now, &acme(), request);
             if let LoanReply::Lent(tokens) = lender.lend(now, &acme(), request) {
-                let borrower = &mut self.keepers[index].escrow;
+                let borrower = &mut self.allocators[index].escrow;
                 borrower.receive(&acme(), request, tokens);
             }
         }
     }
 
     fn tick(&mut self, index: usize) {
-        if self.now.since(self.keepers[index].written_at) >= WRITE_SPAN_MS {
+        if self.now.since(self.allocators[index].written_at) >= WRITE_SPAN_MS {
             self.write(index);
         }
     }
 
     fn write(&mut self, index: usize) {
-        if self.is_store_away {
+        if self.is_store_unavailable {
             return;
         }
         let (now, ledger) = (self.now, self.ledger.clone());
-        let keeper = &mut self.keepers[index];
-        keeper.escrow.set_clock(ClockBounds {
+        let allocator = &mut self.allocators[index];
+        allocator.escrow.set_clock(ClockBounds {
             earliest: Some(now),
-            started: StartBound::By(keeper.started_at),
+            started: StartBound::By(allocator.started_at),
         });
-        keeper.escrow.take_ledger(now, &acme(), ledger, true);
-        let Some(change) = keeper.escrow.plan(now, &acme()) else {
+        allocator.escrow.take_ledger(now, &acme(), ledger, true);
+        let Some(change) = allocator.escrow.plan(now, &acme()) else {
             return;
         };
-        self.ledger = self.ledger.with_change(keeper.escrow.router(), change);
-        keeper.escrow.commit(now, &acme(), self.ledger.clone());
-        keeper.written_at = now;
+        self.ledger = self.ledger.with_change(allocator.escrow.router(), change);
+        allocator.escrow.commit(now, &acme(), self.ledger.clone());
+        allocator.written_at = now;
     }
 
-    /// The part of the calls from `first` up to `last`, in seconds, that were served.
+    /// Returns the served part of the calls in the seconds from `first` up to `last`.
     fn served(&self, first: u64, last: u64) -> f64 {
         let seconds = self.seconds.range(first..last);
         let (asked, served) = seconds.fold((0, 0), |(asked, served), (_, count)| {
@@ -202,13 +203,13 @@
     }
 }
 
-/// After all routers have lost power for the last time, callers whose prompts are paid for are refused for good:
-/// fewer than one in four was served. Three times before, all routers had died together, and each time
-/// the seconds of demand that they held were missing from the ledger. Nobody counted that: each new router
-/// took as much again, until the losses were larger than what the total had to spare.
-/// Shown by the ledgers of such a day: 164 million tokens taken, 20 given back, 103 spent, 41 lost.
+/// All routers lose power four times. Unless losses are counted, each new router takes as much as
+/// before, although the seconds of demand held at each loss are missing from the ledger, until the
+/// losses exceed the surplus of the total. Callers whose prompts are paid for are then refused for
+/// good: fewer than one in four was served, with 164 million tokens taken, 20 returned, 103 spent
+/// and 41 lost.
 #[test]
-fn keepers_lost_four_times_leave_enough_for_callers() {
+fn allocators_lost_four_times_leave_enough_for_callers() {
     let mut fleet = LossyFleet::new(DEMAND * 92 * 13 / 10);
     for second in [8, 36, 64, 92] {
         fleet.run_until(second);
@@ -224,8 +225,9 @@
     );
 }
 
-/// The same with less to spare: callers whose prompts are paid for are refused after the last loss. Of the 10 s of
-/// demand that die here most die the first time, as nothing is known of losses before it.
+/// The same with a smaller surplus: callers whose prompts are paid for are refused after the last
+/// loss. Of the 10 s of demand lost here most are lost the first time, as no losses are known
+/// before it.
 #[test]
 fn keepers_lost_four_times_with_little_to_spare() {
     let mut fleet = LossyFleet::new(DEMAND * 92 * 23 / 20);
@@ -243,79 +245,85 @@
     );
 }
 
-/// The ledger cannot be reached for 8 s, and nobody has died. What keepers hold ahead has to serve all
+/// The ledger is unreachable for 8 s without any losses. The tokens held in advance must serve all
 /// callers meanwhile: losses that did not happen may not cost them anything.
 #[test]
-fn keepers_without_losses_bridge_an_outage() {
+fn allocators_without_losses_bridge_an_outage() {
     let mut fleet = LossyFleet::new(DEMAND * 120);
     fleet.run_until(20);
-    fleet.is_store_away = true;
+    fleet.is_store_unavailable = true;
     fleet.run_until(28);
-    fleet.is_store_away = false;
+    fleet.is_store_unavailable = false;
     fleet.run_until(30);
     let served = fleet.served(20, 30);
     assert!(served > 0.99, "served {served:.2}");
 }
 
-/// The callers of one domain use a workspace by themselves, and some twenty seconds of its total are left when the
-/// ledger gets out of reach for 7 s. They were refused after 4 s: their keeper held no more than 0.3 of what was
-/// left, and the keepers of the other domains, where nobody calls, hold next to nothing.
+/// Only one domain has callers, and some twenty seconds of the total are left when the ledger
+/// becomes unreachable for 7 s. If their allocator held no more than 0.3 of the remainder, they
+/// would be refused after 4 s, as the allocators of domains without callers hold next to nothing.
 #[test]
-fn lone_domain_bridges_an_outage_near_the_end() {
+fn single_domain_bridges_an_outage_near_exhaustion() {
     let mut fleet = LossyFleet::new(DEMAND * 42);
     fleet.calling = vec![0];
     fleet.run_until(20);
-    fleet.is_store_away = true;
+    fleet.is_store_unavailable = true;
     fleet.run_until(27);
     let served = fleet.served(20, 27);
     assert!(served > 0.99, "served {served:.2}");
 }
 
-/// Guards against tokens that die in domains where nobody calls.
+/// Guards against tokens lost in domains without callers.
 #[test]
-fn keepers_without_callers_lose_small_rests_alone() {
+fn allocators_without_callers_lose_only_small_remainders() {
     let mut fleet = LossyFleet::new(DEMAND * 120);
     fleet.calling = vec![0];
     fleet.run_until(20);
     fleet.lose([1, 2]);
-    let small_rests = EscrowOptions::default().slack_part * fleet.prepaid as f64 * 2.0 / 3.0;
-    assert!((fleet.lost as f64) < small_rests, "lost {}", fleet.lost);
+    let small_remainders = EscrowOptions::default().slack_part * fleet.prepaid as f64 * 2.0 / 3.0;
+    assert!(
+        (fleet.lost as f64) < small_remainders,
+        "lost {}",
+        fleet.lost
+    );
 }
 
-/// Guards against calls refused for good since each death past the bound takes seconds of demand again.
+/// Guards against calls refused for good because each loss past the bound takes seconds of demand
+/// again.
 #[test]
-fn keepers_past_the_bound_lose_little() {
+fn allocators_past_the_loss_bound_lose_little() {
     let mut fleet = LossyFleet::new(DEMAND * 120);
-    for death in 1..=2 {
-        fleet.run_until(10 * death);
+    for round in 1..=2 {
+        fleet.run_until(10 * round);
         fleet.lose(0..3);
     }
     let before = fleet.lost;
-    for death in 3..=6 {
-        fleet.run_until(10 * death);
+    for round in 3..=6 {
+        fleet.run_until(10 * round);
         fleet.lose(0..3);
     }
     let each = (fleet.lost - before) as f64 / 4.0 / DEMAND as f64;
-    assert!(each < 1.0, "lost {each:.2} s of demand at each death");
+    assert!(each < 1.0, "lost {each:.2} s of demand at each loss");
 }
 
-/// However often all keepers die, what is lost stays near the part that may be lost: each death makes those
-/// that come after hold less. Here they die every 5 s, which is as soon as they hold what they want.
+/// However often all allocators are lost, the loss stays near the tolerated part: each loss makes
+/// later allocators hold less. Here they are lost every 5 s, which is as soon as they hold the
+/// wanted amount.
 #[test]
-fn keepers_lost_again_and_again_lose_a_bounded_part() {
+fn repeated_losses_of_allocators_are_bounded() {
     let mut fleet = LossyFleet::new(DEMAND * 120);
-    for death in 1..=16 {
-        fleet.run_until(5 * death);
+    for round in 1..=16 {
+        fleet.run_until(5 * round);
         fleet.lose(0..3);
     }
     let part = fleet.lost as f64 / fleet.prepaid as f64;
     assert!(part < 0.4, "lost {part:.2} of the total");
 }
 
-/// A process that starts again on a host finds what the one before had told to hold. That is lost, and counted
-/// once: neither the same router's next change nor one of another host adds to it.
+/// A restarted process finds the idle tokens in its predecessor's ledger entry. These are lost and
+/// counted once: neither the same router's next change nor one of another host adds to them.
 #[test]
-fn with_change_counts_what_died_on_the_same_host() {
+fn with_change_counts_losses_on_the_same_host() {
     let change = |number, tokens, idle| LedgerChange {
         number,
         transfer: TokenTransfer::Take(tokens),
@@ -334,24 +342,25 @@
     assert_eq!((ledger.taken, ledger.lost), (1_300, 400));
 }
 
-/// Ledgers that were written before losses were counted are read on: nothing is known to be lost.
+/// Ledgers written before losses were counted can still be read: no loss is known.
 #[test]
-fn ledger_without_losses_is_read() {
+fn ledger_without_loss_field_is_read() {
     let text = r#"{"taken":70,"writers":[{"router":"host-1@10","number":3}]}"#;
     let ledger: BudgetLedger = serde_json::from_str(text).expect("a ledger");
     assert_eq!((ledger.taken, ledger.lost), (70, 0));
     assert!(ledger.has_change("host-1@10", 3));
 }
 
-/// A keeper is told to end and has lent out all that it held. Nothing died with it, so the next process on its
-/// host may not find that something did: callers would be served worse in the next outage for nothing.
+/// An allocator is shut down and has lent all its tokens. Nothing is lost with it, so the next
+/// process on its host must find no loss: callers would be served worse in the next outage without
+/// need.
 #[test]
-fn plan_closing_tells_that_nothing_is_held() {
+fn plan_closing_records_empty_holding() {
     let mut fleet = LossyFleet::new(DEMAND * 120);
     fleet.run_until(4);
     let now = fleet.now;
-    let keeper = &mut fleet.keepers[0];
-    let all = keeper.escrow.free_tokens();
+    let allocator = &mut fleet.allocators[0];
+    let all = allocator.escrow.free_tokens();
     let request = LoanRequest {
         least: all,
         need: all,
@@ -359,14 +368,14 @@
         used: 0,
     };
     assert_eq!(
-        keeper.escrow.lend(now, &acme(), request),
+        allocator.escrow.lend(now, &acme(), request),
         LoanReply::Lent(all)
     );
-    keeper.escrow.close();
-    assert!(keeper.escrow.has_tokens());
+    allocator.escrow.close();
+    assert!(allocator.escrow.has_tokens());
     fleet.write(0);
-    assert!(!fleet.keepers[0].escrow.has_tokens());
-    fleet.keepers[0] = fleet.start(0);
+    assert!(!fleet.allocators[0].escrow.has_tokens());
+    fleet.allocators[0] = fleet.start(0);
     fleet.run_until(8);
     assert_eq!(fleet.ledger.lost, 0);
 }
--- a/crates/beechsaddle-core/tests/gateway_repeats.rs
+++ b/crates/beechsaddle-core/tests/gateway_repeats.rs
@@ -1,4 +1,4 @@
-//! Tests of what may be sent once more, and how often the fleet does so.
+//! Tests of the rules for retries, and of the retry budget of the fleet.
 
 use beechsaddle_core::gateway::{
     AttemptEnd, AttemptHistory, RetryShare, RetryShareOptions, RouteKind,
@@ -21,7 +21,7 @@
     for kind in [RouteKind::NotRepeatable, STREAM] {
         for end in [AttemptEnd::Failed, AttemptEnd::Broken, AttemptEnd::Silent] {
             assert!(!history(&[end]).allows_another(kind, 3), "{kind:?} {end:?}");
-            // A later refusal takes nothing back of an attempt that may have run.
+            // A later refusal does not change that an earlier attempt may have run.
             let both = history(&[end, AttemptEnd::NotRun]);
             assert!(!both.allows_another(kind, 3));
             assert!(both.may_have_run());
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn allows_another_unsent_is_no_attempt_but_ends() {
+fn allows_another_unsent_is_bounded_separately() {
     let three = history(&[AttemptEnd::Unsent; 3]);
     assert!(three.allows_another(RouteKind::NotRepeatable, 1));
     assert_eq!(three.sent(), 0);
@@ -56,8 +56,8 @@
     window_ms: 10_000,
 };
 
-/// A fleet of routers of which each repeats as often as its share allows, over sliding windows:
-/// together they stay within the ratio of all requests and the one allowance.
+/// Each router retries as often as its share allows. Over sliding windows the fleet stays within
+/// the ratio of all requests plus the one allowance.
 #[test]
 fn retry_share_fleet_stays_within_the_budget() {
     let service = ServiceName::new("s");
@@ -70,10 +70,10 @@
     let mut repeats = Vec::new();
     for step in 0..600_u64 {
         let now = ClockTime::from_millis(1_000_000 + step * 50);
-        // The load comes and goes, and is uneven between the routers.
+        // The load varies, and is uneven between the routers.
         let active = if (step / 100) % 2 == 0 { routers } else { 1 };
         for share in fleet.iter_mut().take(active) {
-            share.note_request(now, &service);
+            share.record_request(now, &service);
             requests.push(now);
             while share.try_repeat(now, &service) {
                 repeats.push(now);
@@ -103,7 +103,7 @@
     let now = ClockTime::from_millis(1_000_000);
     assert!(!share.try_repeat(now, &service));
     for _ in 0..20 {
-        share.note_request(now, &service);
+        share.record_request(now, &service);
     }
     let allowed = (0..20).filter(|_| share.try_repeat(now, &service)).count();
     assert_eq!(allowed, 3);
--- a/crates/beechsaddle-core/tests/gateway_routes.rs
+++ b/crates/beechsaddle-core/tests/gateway_routes.rs
@@ -1,4 +1,4 @@
-//! Tests of routes, keys and the sharing of requests between services.
+//! Tests of routes, keys and the split of requests between services.
 
 use std::collections::BTreeSet;
 
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn find_route_host_without_case_and_port() {
+fn find_route_ignores_case_and_port() {
     assert_eq!(found("ONE.example:8080", "/a/").as_deref(), Some("short"));
 }
 
@@ -78,8 +78,8 @@
     assert_eq!(name("k3"), None);
 }
 
-/// A repeated attempt of a caller with the same id must not jump to the other service of a split,
-/// and each service gets about its share.
+/// Retries of a caller with the same id must not switch to the other service of a split, and each
+/// service receives about its share.
 #[test]
 fn service_for_split_is_stable_and_fair() {
     let route = route("split", "h", "/", &[("a", 90), ("b", 10)]);
--- a/crates/beechsaddle-core/tests/gateway_suspect_choice.rs
+++ b/crates/beechsaddle-core/tests/gateway_suspect_choice.rs
@@ -5,9 +5,9 @@
 use beechsaddle_core::gateway::AttemptLoad;
 use choice_support::{NAMES, chosen, roster, stats};
 
-/// Guards against a request that may crash its target and takes the most loaded one with it.
+/// Guards against a request that may crash its target and is sent to the most loaded one.
 #[test]
-fn suspect_goes_where_least_runs() {
+fn suspect_goes_to_least_loaded_target() {
     let mut roster = roster();
     for name in ["e1", "e2", "e4"] {
         stats(&mut roster, name).start(AttemptLoad::default());
@@ -17,7 +17,8 @@
     }
 }
 
-/// Guards against suspects of one crash that meet at the next target, so that it tells nothing either.
+/// Guards against suspects of one crash that are sent to the same target again, whose crash would
+/// not identify the cause either.
 #[test]
 fn suspects_of_one_crash_go_to_different_targets() {
     let roster = roster();
@@ -30,13 +31,13 @@
     assert_eq!(targets, NAMES);
 }
 
-/// Guards against other requests that are sent to a target which may be crashed at any moment.
+/// Guards against other requests that are sent to a target which may crash at any time.
 #[test]
-fn others_leave_a_target_with_a_suspect() {
+fn other_requests_avoid_target_with_suspect() {
     for shared in ["a", "b", "c", "d"] {
         let mut roster = roster();
-        let home = chosen(&roster, Some(shared), None);
-        stats(&mut roster, &home).suspects += 1;
-        assert_ne!(chosen(&roster, Some(shared), None), home);
+        let affinity = chosen(&roster, Some(shared), None);
+        stats(&mut roster, &affinity).suspects += 1;
+        assert_ne!(chosen(&roster, Some(shared), None), affinity);
     }
 }
--- a/crates/beechsaddle-core/tests/gateway_targets.rs
+++ b/crates/beechsaddle-core/tests/gateway_targets.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn removed_is_gone_at_once_while_the_store_is_well() {
+fn removed_is_gone_at_once_without_outage() {
     let mut roster = roster(&["a", "b"]);
     let change = roster.remove(START, &TargetName::new("a"));
     assert_eq!(
@@ -92,12 +92,13 @@
     assert_eq!(ready(&roster), ["b"]);
 }
 
-/// The store is away and entries expire meanwhile. The first listing after its return lacks them:
-/// the targets stay in use until they have had time to write again, and are gone after that.
+/// Entries expire during a store outage and are missing from the first listing afterwards. The
+/// targets stay in use until they have had time to write their entries again, and are gone after
+/// that.
 #[test]
-fn lapsed_during_an_outage_stays_for_a_grace() {
+fn expired_during_an_outage_stays_for_grace_period() {
     let mut roster = roster(&["a", "b"]);
-    roster.note_away(START);
+    roster.record_outage(START);
     let back = START.plus_ms(100);
     let changes = roster.take_listing(back, [record("b", "north")]);
     assert_eq!(changes, [RosterChange::Unconfirmed(TargetName::new("a"))]);
@@ -109,23 +110,23 @@
 }
 
 #[test]
-fn lapsed_and_written_again_stays() {
+fn expired_and_rewritten_stays() {
     let mut roster = roster(&["a"]);
-    roster.note_away(START);
+    roster.record_outage(START);
     roster.remove(START.plus_ms(50), &TargetName::new("a"));
     assert_eq!(roster.put(START.plus_ms(900), record("a", "north")), None);
     assert!(roster.expire(START.plus_ms(9_000)).is_empty());
     assert_eq!(ready(&roster), ["a"]);
 }
 
-/// An entry that said it is leaving and then is missing after an outage has left.
+/// A draining target whose entry is missing after an outage has left.
 #[test]
 fn draining_and_missing_after_an_outage_is_gone() {
     let mut roster = roster(&["a"]);
     let mut leaving = record("a", "north");
     leaving.phase = TargetPhase::Draining;
     roster.put(START, leaving);
-    roster.note_away(START);
+    roster.record_outage(START);
     let change = roster.remove(START.plus_ms(50), &TargetName::new("a"));
     assert_eq!(
         change,
@@ -133,17 +134,17 @@
     );
 }
 
-/// All requests of one shared part meet at one engine, whichever router chooses; different parts
+/// All requests with one shared part go to one engine, whichever router chooses; different parts
 /// spread over all engines.
 #[test]
-fn choose_shared_part_has_one_place() {
+fn choose_shared_part_has_one_affinity_target() {
     let names = ["a", "b", "c", "d", "e", "f"];
     let roster = roster(&names);
     let mut used = std::collections::BTreeMap::<String, u32>::new();
     for number in 0..120 {
         let prompt = prompt(&format!("part-{number}"));
         let choice = choose(&roster, START, &prompt, &[]).expect("a target");
-        assert!(choice.is_home);
+        assert!(choice.is_affinity_target);
         assert_eq!(choice.load.prefill_tokens, 3_000);
         *used.entry(choice.target.to_string()).or_default() += 1;
     }
@@ -151,38 +152,38 @@
     assert!(used.values().all(|count| *count <= 40), "{used:?}");
 }
 
-/// The place of a part is loaded with work that takes far longer than reading the part again: the
+/// The affinity target of a part has work that takes far longer than processing the part again: the
 /// request goes elsewhere. With a little work it stays.
 #[test]
-fn choose_loaded_place_is_left() {
+fn choose_loaded_affinity_target_is_avoided() {
     let mut roster = roster(&["a", "b", "c"]);
     let prompt = prompt("part");
-    let home = choose(&roster, START, &prompt, &[])
+    let affinity = choose(&roster, START, &prompt, &[])
         .expect("a target")
         .target;
     let some = AttemptLoad {
         prefill_tokens: 5_000,
     };
-    roster.gauge_mut(&home).expect("a gauge").start(some);
+    roster.stats_mut(&affinity).expect("stats").start(some);
     let choice = choose(&roster, START, &prompt, &[]).expect("a target");
-    assert_eq!(choice.target, home);
+    assert_eq!(choice.target, affinity);
     let much = AttemptLoad {
         prefill_tokens: 60_000,
     };
-    roster.gauge_mut(&home).expect("a gauge").start(much);
+    roster.stats_mut(&affinity).expect("stats").start(much);
     let choice = choose(&roster, START, &prompt, &[]).expect("a target");
-    assert_ne!(choice.target, home);
+    assert_ne!(choice.target, affinity);
     assert_eq!(choice.load.prefill_tokens, 16_000);
 }
 
 #[test]
-fn choose_tried_and_ejected_are_left_out() {
+fn choose_excludes_tried_and_ejected() {
     let mut roster = roster(&["a", "b"]);
     let tried = [TargetName::new("a")];
     let choice = choose(&roster, START, &prompt("p"), &tried).expect("a target");
     assert_eq!(choice.target.as_str(), "b");
     let name = TargetName::new("b");
-    roster.gauge_mut(&name).expect("a gauge").eject(START);
+    roster.stats_mut(&name).expect("stats").eject(START);
     for number in 0..10 {
         let prompt = prompt(&number.to_string());
         let choice = choose(&roster, START, &prompt, &[]).expect("a target");
@@ -190,30 +191,30 @@
     }
 }
 
-/// All targets look dead, as when this router is cut off for a moment. A try is better than a
-/// refusal, since nothing is sent where no connection is made.
+/// All targets appear down, as when this router is briefly partitioned. An attempt is better than a
+/// refusal, since nothing is sent without a connection.
 #[test]
-fn choose_all_ejected_still_gives_one() {
+fn choose_all_ejected_still_picks_one() {
     let mut roster = roster(&["a"]);
     let name = TargetName::new("a");
-    roster.gauge_mut(&name).expect("a gauge").eject(START);
+    roster.stats_mut(&name).expect("stats").eject(START);
     assert!(choose(&roster, START, &prompt("p"), &[]).is_some());
 }
 
 #[test]
 fn ejection_ends_and_grows() {
     let mut roster = roster(&["a"]);
-    let gauge = roster.gauge_mut(&TargetName::new("a")).expect("a gauge");
-    gauge.eject(START);
-    assert!(gauge.is_ejected(START.plus_ms(600)));
-    assert!(!gauge.is_ejected(START.plus_ms(800)));
-    gauge.eject(START.plus_ms(800));
-    assert!(gauge.is_ejected(START.plus_ms(1_900)));
-    gauge.note_outcome(START.plus_ms(1_900), false);
-    assert!(!gauge.is_ejected(START.plus_ms(1_900)));
+    let stats = roster.stats_mut(&TargetName::new("a")).expect("stats");
+    stats.eject(START);
+    assert!(stats.is_ejected(START.plus_ms(600)));
+    assert!(!stats.is_ejected(START.plus_ms(800)));
+    stats.eject(START.plus_ms(800));
+    assert!(stats.is_ejected(START.plus_ms(1_900)));
+    stats.record_outcome(START.plus_ms(1_900), false);
+    assert!(!stats.is_ejected(START.plus_ms(1_900)));
 }
 
-/// A plain target that fails most of its calls gets few, though it answers fast.
+/// A plain target that fails most of its calls receives few, although it answers fast.
 #[test]
 fn choose_plain_failing_target_is_avoided() {
     let mut roster = roster(&["a", "b"]);
@@ -221,11 +222,11 @@
     for step in 0..12 {
         let now = START.plus_ms(step * 50);
         for (name, is_failure) in [("a", true), ("b", false)] {
-            let gauge = roster.gauge_mut(&TargetName::new(name)).expect("a gauge");
-            gauge.start(AttemptLoad::default());
-            gauge.note_first(now, AttemptLoad::default(), if is_failure { 5 } else { 30 });
-            gauge.note_outcome(now, is_failure);
-            gauge.end();
+            let stats = roster.stats_mut(&TargetName::new(name)).expect("stats");
+            stats.start(AttemptLoad::default());
+            stats.record_first(now, AttemptLoad::default(), if is_failure { 5 } else { 30 });
+            stats.record_outcome(now, is_failure);
+            stats.end();
         }
     }
     let choice = choose(&roster, START.plus_ms(700), &plain, &[]).expect("a target");
@@ -240,33 +241,33 @@
     }
 }
 
-/// A target crashes and is back under its id within a heartbeat. Its memory is empty and its queue too:
-/// what was seen of it before, work in flight and ejections, would keep calls away from it or send
-/// them for parts that it has not.
+/// A target crashes and restarts under its id within a heartbeat. Its cache and queue are empty:
+/// with the statistics from before, work in flight and ejections, calls would avoid it or be sent
+/// to it for parts that it does not have.
 #[test]
-fn restarted_target_begins_anew() {
+fn restarted_target_has_fresh_stats() {
     let mut roster = TargetRoster::default();
     roster.put(START, record_of_start(100, 1));
     let name = TargetName::new("a");
-    let gauge = roster.gauge_mut(&name).expect("a gauge");
-    gauge.start(AttemptLoad {
+    let stats = roster.stats_mut(&name).expect("stats");
+    stats.start(AttemptLoad {
         prefill_tokens: 9_000,
     });
-    gauge.eject(START);
+    stats.eject(START);
     let change = roster.put(START.plus_ms(300), record_of_start(400, 2));
     assert_eq!(
         change,
         Some(RosterChange::Restarted(name.clone(), address()))
     );
-    let gauge = &roster.get(&name).expect("an entry").gauge;
-    assert_eq!((gauge.active, gauge.pending_tokens), (0, 0));
-    assert!(!gauge.is_ejected(START.plus_ms(300)));
+    let stats = &roster.get(&name).expect("an entry").stats;
+    assert_eq!((stats.active, stats.pending_tokens), (0, 0));
+    assert!(!stats.is_ejected(START.plus_ms(300)));
 }
 
-/// A target that was leaving crashes and starts again under its id, before its entry is gone: it takes
-/// new work.
+/// A draining target crashes and restarts under its id before its entry expires: it accepts new
+/// requests.
 #[test]
-fn leaving_target_that_restarted_is_used() {
+fn restarted_draining_target_is_used() {
     let mut roster = TargetRoster::default();
     let mut leaving = record_of_start(100, 1);
     leaving.phase = TargetPhase::Draining;
@@ -276,11 +277,11 @@
     assert_eq!(ready(&roster), ["a"]);
 }
 
-/// Answers of the store come out of order: one that was under way for long brings an entry of the start
-/// before. And one write of the process that died lands after those of its successor. Neither takes the
-/// running target's place.
+/// The store's answers are reordered: a delayed one has an entry of the previous start. A last
+/// write of the dead process is applied after those of its successor. Neither replaces the running
+/// target.
 #[test]
-fn earlier_starts_change_nothing() {
+fn earlier_starts_are_ignored() {
     let mut roster = TargetRoster::default();
     roster.put(START, record_of_start(400, 7));
     let mut late = record_of_start(100, 3);
@@ -293,10 +294,10 @@
     assert_eq!(ready(&roster), ["a"]);
 }
 
-/// The clock of a target's host was set back before the target started again. Its first entry looks
-/// like one of a dead process; the second shows that it lives.
+/// The clock of a target's host was set back before the target restarted. Its first entry looks
+/// like one of a dead process; the second shows that it runs.
 #[test]
-fn earlier_start_told_twice_is_believed() {
+fn earlier_start_seen_twice_is_accepted() {
     let mut roster = TargetRoster::default();
     roster.put(START, record_of_start(400, 7));
     assert_eq!(roster.put(START, record_of_start(250, 8)), None);
@@ -304,12 +305,12 @@
     assert!(matches!(change, Some(RosterChange::Restarted(..))));
 }
 
-/// Somebody else overwrites an entry with what cannot be read, right after an outage of the store. The
-/// entry names no target from then on, and there is no grace for it: it has not lapsed.
+/// An entry is overwritten with unreadable content right after a store outage. It no longer names a
+/// target, and no grace period applies, as it has not expired.
 #[test]
 fn unreadable_entry_is_withdrawn() {
     let mut roster = roster(&["a", "b"]);
-    roster.note_away(START);
+    roster.record_outage(START);
     let change = roster.withdraw(&TargetName::new("a"));
     assert_eq!(
         change,
@@ -358,11 +359,11 @@
     }
 }
 
-/// A domain is cut off while 180 short streams run that cannot go on elsewhere: all that cross the cut
-/// are lost to their callers. Streams that run once stay in the caller's domain while it has room; those
-/// that may be resumed go to the place of their parts, wherever it is.
+/// A domain is partitioned while 180 short streams run that cannot continue elsewhere: all that
+/// cross the partition are lost to their callers. Streams that run once stay in the caller's domain
+/// while it has capacity; resumable ones go to the affinity target of their parts in any domain.
 #[test]
-fn choose_single_runs_stay_near() {
+fn choose_single_runs_stay_in_domain() {
     let roster = three_domains(START);
     let off = PolicyOptions {
         keeps_single_runs_near: false,
@@ -388,17 +389,17 @@
     assert!(crossing(false, PolicyOptions::default()) > 15);
 }
 
-/// All engines of the caller's domain are full: a stream that runs once crosses over rather than wait
-/// for seconds.
+/// All engines of the caller's domain are full: a stream that runs once goes to another domain
+/// rather than wait for seconds.
 #[test]
-fn choose_single_run_crosses_when_near_is_full() {
+fn choose_single_run_crosses_when_domain_is_full() {
     let mut roster = three_domains(START);
     for number in [0, 3, 6, 9] {
         let name = TargetName::new(format!("e{number}"));
         let load = AttemptLoad {
             prefill_tokens: 20_000,
         };
-        roster.gauge_mut(&name).expect("a gauge").start(load);
+        roster.stats_mut(&name).expect("stats").start(load);
     }
     let choice = choose_at(
         &roster,
@@ -418,29 +419,33 @@
     );
 }
 
-/// The place of a shared part is loaded, and a request for it goes elsewhere. The engine there gets the
-/// part from its place; reading 13,000 tokens again would pause all streams that run there.
+/// The affinity target of a shared part is loaded, and a request for it goes elsewhere. The engine
+/// there fetches the part from it; processing 13,000 tokens again would pause all streams that run
+/// there.
 #[test]
-fn choose_elsewhere_fetches_from_the_place() {
+fn choose_other_engine_fetches_from_affinity_target() {
     let mut roster = three_domains(START);
     let prompt = prompt("part");
     let policy = PolicyOptions::default();
     let later = |roster: &TargetRoster, policy| {
         choose_at(roster, START.plus_ms(60_000), &prompt, false, policy)
     };
-    let place = later(&roster, policy);
-    assert_eq!((place.is_home, place.fetch_from), (true, None));
+    let affinity = later(&roster, policy);
+    assert_eq!(
+        (affinity.is_affinity_target, affinity.fetch_from),
+        (true, None)
+    );
     let much = AttemptLoad {
         prefill_tokens: 90_000,
     };
-    let address = roster.get(&place.target).expect("it").record.address;
+    let address = roster.get(&affinity.target).expect("it").record.address;
     roster
-        .gauge_mut(&place.target)
-        .expect("a gauge")
+        .stats_mut(&affinity.target)
+        .expect("stats")
         .start(much);
     let elsewhere = later(&roster, policy);
     assert_eq!(
-        (elsewhere.is_home, elsewhere.fetch_from),
+        (elsewhere.is_affinity_target, elsewhere.fetch_from),
         (false, Some(address))
     );
     let off = PolicyOptions {
@@ -450,10 +455,10 @@
     assert_eq!(later(&roster, off).fetch_from, None);
 }
 
-/// An engine comes up and is the place of parts that it has never read. It gets them from the engine that
-/// was their place until then. Small parts are not worth a transfer.
+/// A new engine is the affinity target of parts that it has never processed. It fetches them from
+/// the engine that was their affinity target until then. Small parts are not worth a transfer.
 #[test]
-fn choose_new_place_fetches_from_the_one_before() {
+fn choose_new_affinity_target_fetches_from_previous_one() {
     let mut roster = three_domains(START);
     let prompt = prompt("part");
     let policy = PolicyOptions::default();
@@ -470,7 +475,7 @@
     let name = format!("n{}", number.expect("a name that comes first"));
     roster.put(later, record(&name, "north"));
     let choice = choose_at(&roster, later, &prompt, false, policy);
-    assert!(choice.is_home && choice.target.as_str() == name);
+    assert!(choice.is_affinity_target && choice.target.as_str() == name);
     let address = roster.get(&before).expect("it").record.address;
     assert_eq!(choice.fetch_from, Some(address));
     let small = choose_at(&roster, later, &short_prompt(1), false, policy);
--- a/crates/beechsaddle/src/gateway/attempt_guard.rs
+++ b/crates/beechsaddle/src/gateway/attempt_guard.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use beechsaddle_core::gateway::{
-    AttemptEnd, AttemptLoad, RequestFingerprint, TargetGauge, TargetRecord,
+    AttemptEnd, AttemptLoad, RequestFingerprint, TargetRecord, TargetStats,
 };
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::report::LogLevel;
@@ -52,9 +52,9 @@
             load,
             has_first: false,
         };
-        guard.change(|gauge, _| {
-            gauge.start(load);
-            gauge.suspects += u64::from(guard.is_suspect);
+        guard.change(|stats, _| {
+            stats.start(load);
+            stats.suspects += u64::from(guard.is_suspect);
         });
         guard
     }
@@ -65,22 +65,22 @@
     }
 
     /// The first event or the whole answer has come.
-    pub(super) fn note_first(&mut self) {
+    pub(super) fn record_first(&mut self) {
         if self.has_first {
             return;
         }
         self.has_first = true;
         let (load, started_at) = (self.load, self.started_at);
         let reading_ms = load.prefill_tokens / READ_TOKENS_PER_MS;
-        self.change(|gauge, now| {
+        self.change(|stats, now| {
             let waited_ms = now.since(started_at).saturating_sub(reading_ms);
-            gauge.note_first(now, load, waited_ms.max(1));
+            stats.record_first(now, load, waited_ms.max(1));
         });
     }
 
     /// Something came from the target.
     pub(super) fn note_progress(&self) {
-        self.change(|gauge, now| gauge.progress_at = now);
+        self.change(|stats, now| stats.progress_at = now);
     }
 
     /// How long nothing came from the target for any attempt, in milliseconds.
@@ -89,13 +89,13 @@
         let roster = self.state.roster.borrow();
         let progress_at = roster
             .get(&self.target.name)
-            .map_or(self.started_at, |entry| entry.gauge.progress_at);
+            .map_or(self.started_at, |entry| entry.stats.progress_at);
         now.since(progress_at.max(self.started_at))
     }
 
     /// The attempt brought a usable answer.
     pub(super) fn note_success(&self) {
-        self.change(|gauge, now| gauge.note_outcome(now, false));
+        self.change(|stats, now| stats.record_outcome(now, false));
     }
 
     /// The attempt brought no usable answer.
@@ -105,18 +105,18 @@
         let is_dead = self.silence_ms() >= DEAD_MS;
         let is_link_full = self.state.is_link_full();
         let mut is_ejected = false;
-        self.change(|gauge, now| {
+        self.change(|stats, now| {
             match end {
                 // A full target is no broken one.
                 AttemptEnd::NotRun => {}
-                AttemptEnd::Failed | AttemptEnd::Broken => gauge.note_outcome(now, true),
-                AttemptEnd::Silent if !is_dead => gauge.note_outcome(now, true),
+                AttemptEnd::Failed | AttemptEnd::Broken => stats.record_outcome(now, true),
+                AttemptEnd::Silent if !is_dead => stats.record_outcome(now, true),
                 // Behind a full link of its own a router reaches nobody in time; that says nothing of
                 // the target, and ejecting all of them would leave only bad choices.
                 AttemptEnd::Unsent if is_link_full => {}
                 AttemptEnd::Unsent | AttemptEnd::Silent => {
-                    gauge.note_outcome(now, true);
-                    gauge.eject(now);
+                    stats.record_outcome(now, true);
+                    stats.eject(now);
                     is_ejected = true;
                 }
             }
@@ -143,7 +143,7 @@
 
     /// Takes a target out of use whose address another one has.
     pub(super) fn note_misdirected(&self) {
-        self.change(|gauge, now| gauge.eject(now));
+        self.change(|stats, now| stats.eject(now));
         self.state.pool.forget(self.target.address);
     }
 
@@ -160,7 +160,7 @@
             .log(LogLevel::Warning, "target_ejected", fields);
     }
 
-    fn change(&self, change: impl FnOnce(&mut TargetGauge, ClockTime)) {
+    fn change(&self, change: impl FnOnce(&mut TargetStats, ClockTime)) {
         let now = self.state.now();
         let mut roster = self.state.roster.borrow_mut();
         // A target that left while the attempt ran has no gauge any more, and one that started again
@@ -168,8 +168,8 @@
         let is_same = roster
             .get(&self.target.name)
             .is_some_and(|entry| entry.record.started == self.target.started);
-        if let Some(gauge) = roster.gauge_mut(&self.target.name).filter(|_| is_same) {
-            change(gauge, now);
+        if let Some(stats) = roster.stats_mut(&self.target.name).filter(|_| is_same) {
+            change(stats, now);
         }
     }
 }
@@ -178,12 +178,12 @@
     fn drop(&mut self) {
         let (load, has_first) = (self.load, self.has_first);
         let is_suspect = self.is_suspect;
-        self.change(|gauge, _| {
-            gauge.suspects = gauge.suspects.saturating_sub(u64::from(is_suspect));
+        self.change(|stats, _| {
+            stats.suspects = stats.suspects.saturating_sub(u64::from(is_suspect));
             if !has_first {
-                gauge.forget_pending(load);
+                stats.forget_pending(load);
             }
-            gauge.end();
+            stats.end();
         });
     }
 }
--- a/crates/beechsaddle/src/gateway/call_exchange.rs
+++ b/crates/beechsaddle/src/gateway/call_exchange.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use beechsaddle_core::gateway::{
-    AttemptHistory, GatewayConfig, LinkWay, RequestFingerprint, RouteMatch, RouteRule, ServiceRule,
-    WorkspaceRule,
+    AttemptHistory, GatewayConfig, LinkDirection, RequestFingerprint, RouteMatch, RouteRule,
+    ServiceRule, WorkspaceRule,
 };
 use beechsaddle_core::prelude::*;
 use beechsaddle_platform::CallHead;
@@ -97,7 +97,7 @@
     state
         .retries
         .borrow_mut()
-        .note_request(state.now(), &call.service);
+        .record_request(state.now(), &call.service);
     let reservation = match reserve(&call).await {
         Ok(reservation) => reservation,
         Err(cause) => {
@@ -277,7 +277,7 @@
         Ok(body) => body,
         Err(refused) => return Err((record, refused)),
     };
-    state.note_message(LinkWay::In, &body);
+    state.record_message(LinkDirection::In, &body);
     let Some(service) = place.route.service_for(&head.request_id).cloned() else {
         let refused = CallRefused::new(RefusalCause::NoTarget, "the route has no service");
         return Err((record, refused));
--- a/crates/beechsaddle/src/gateway/call_record.rs
+++ b/crates/beechsaddle/src/gateway/call_record.rs
@@ -102,7 +102,7 @@
     }
 
     /// Notes that the first event or the whole answer goes out.
-    pub(super) fn note_first(&self) {
+    pub(super) fn record_first(&self) {
         if self.first_ms.get().is_some() {
             return;
         }
@@ -118,7 +118,7 @@
 
     /// Notes that events of a stream go out: the time since those before them was a pause.
     pub(super) fn note_event(&self) {
-        self.note_first();
+        self.record_first();
         let now = self.state.now();
         if let Some(before) = self.event_at.replace(Some(now)) {
             let pause_ms = now.since(before).max(self.longest_pause_ms.get());
--- a/crates/beechsaddle/src/gateway/clock_desk.rs
+++ b/crates/beechsaddle/src/gateway/clock_desk.rs
@@ -50,11 +50,11 @@
     pub(super) fn bounds(&self, state: &GatewayState) -> ClockBounds {
         let now = state.now();
         let mut clock = self.clock.borrow_mut();
-        clock.note(state.me.host.clone(), now, now, state.clock.reading());
+        clock.record(state.me.host.clone(), now, now, state.clock.reading());
         clock.bounds(now)
     }
 
-    fn note_asked(&self, now: ClockTime, host: &HostName) {
+    fn record_asked(&self, now: ClockTime, host: &HostName) {
         self.asked_at.borrow_mut().insert(host.clone(), now);
     }
 
@@ -67,7 +67,7 @@
         let due = ring.others(now).map(|(peer, _)| peer).filter(|peer| {
             let asked = asked_at.get(&peer.host);
             let is_tried = asked.is_some_and(|at| now.since(*at) < RETRY_MS);
-            peer.address.is_some() && !is_tried && clock.wants(now, &peer.host)
+            peer.address.is_some() && !is_tried && clock.needs_reading(now, &peer.host)
         });
         let mut due: Vec<PeerRecord> = due.cloned().collect();
         // Each router asks others first, so that none is asked by all.
@@ -104,13 +104,13 @@
 
 async fn ask_clock(state: &GatewayState, peer: PeerRecord) {
     let asked_at = state.now();
-    state.clocks.note_asked(asked_at, &peer.host);
+    state.clocks.record_asked(asked_at, &peer.host);
     let secret = state.lending.secret();
     let links = &state.lending.links;
     let failure = match timeout(CLOCK_SPAN, links.read_clock(&peer, &secret)).await {
         Ok(Ok(Some(reading))) => {
             let mut clock = state.clocks.clock.borrow_mut();
-            return clock.note(peer.host, asked_at, state.now(), reading);
+            return clock.record(peer.host, asked_at, state.now(), reading);
         }
         // A router of an older version tells no clock.
         Ok(Ok(None)) => return,
--- a/crates/beechsaddle/src/gateway/crashes/crash_desk.rs
+++ b/crates/beechsaddle/src/gateway/crashes/crash_desk.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use beechsaddle_core::gateway::{CrashBook, CrashSighting, CrashVerdict, RequestFingerprint};
+use beechsaddle_core::gateway::{CrashRegistry, CrashReport, CrashVerdict, RequestFingerprint};
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::report::LogLevel;
 use tokio::sync::Notify;
@@ -19,7 +19,7 @@
 /// Crashes that this router knows of, and what is under way because of them.
 #[derive(Default)]
 pub(in crate::gateway) struct CrashDesk {
-    pub(super) book: RefCell<CrashBook>,
+    pub(super) book: RefCell<CrashRegistry>,
     /// Requests that are being tried here.
     trials: RefCell<BTreeSet<RequestFingerprint>>,
     /// What the store has.
@@ -118,7 +118,7 @@
     fingerprint: RequestFingerprint,
 ) -> Option<TrialGuard> {
     let ring = state.lending.ring.borrow();
-    let is_own = ring.keeper_of(now, &fingerprint.to_string()).is_none();
+    let is_own = ring.coordinator_of(now, &fingerprint.to_string()).is_none();
     let is_new = is_own && state.crashes.trials.borrow_mut().insert(fingerprint);
     is_new.then(|| TrialGuard {
         state: Rc::clone(state),
@@ -148,14 +148,14 @@
 /// Takes over crashes; gives the requests of which something was news.
 pub(super) fn take_sightings(
     state: &GatewayState,
-    sightings: impl IntoIterator<Item = CrashSighting>,
+    reports: impl IntoIterator<Item = CrashReport>,
 ) -> BTreeSet<RequestFingerprint> {
     let now = state.now();
     let mut news = BTreeSet::new();
-    for sighting in sightings {
+    for sighting in reports {
         let fingerprint = sighting.fingerprint;
         let mut book = state.crashes.book.borrow_mut();
-        if book.note(now, sighting) {
+        if book.record(now, sighting) {
             news.insert(fingerprint);
         }
     }
@@ -181,7 +181,7 @@
         .log(LogLevel::Warning, "request_blocked", fields);
 }
 
-fn target_names(book: &CrashBook, fingerprint: RequestFingerprint) -> String {
+fn target_names(book: &CrashRegistry, fingerprint: RequestFingerprint) -> String {
     let targets = book.targets(fingerprint);
     let names: Vec<_> = targets.iter().map(|target| target.name.as_str()).collect();
     names.join(",")
--- a/crates/beechsaddle/src/gateway/crashes/crash_document.rs
+++ b/crates/beechsaddle/src/gateway/crashes/crash_document.rs
@@ -1,6 +1,6 @@
 //! The `crash_document` module provides crashes as they lie in the store.
 
-use beechsaddle_core::gateway::{CrashFacts, CrashSighting, RequestFingerprint, TargetIncarnation};
+use beechsaddle_core::gateway::{CrashFacts, CrashReport, RequestFingerprint, TargetIncarnation};
 use beechsaddle_core::prelude::*;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -27,8 +27,8 @@
 }
 
 impl CrashEntry {
-    fn new(sighting: &CrashSighting) -> Self {
-        let CrashSighting {
+    fn new(sighting: &CrashReport) -> Self {
+        let CrashReport {
             fingerprint,
             target,
             facts,
@@ -44,8 +44,8 @@
         }
     }
 
-    fn read(self) -> Option<CrashSighting> {
-        Some(CrashSighting {
+    fn read(self) -> Option<CrashReport> {
+        Some(CrashReport {
             fingerprint: RequestFingerprint::try_parse(&self.request)?,
             target: TargetIncarnation {
                 name: TargetName::new(&self.target),
@@ -66,7 +66,7 @@
 /// # Errors
 ///
 /// When the object as a whole is none of crashes.
-pub(super) fn read_crashes(spec: &Value) -> Result<Vec<CrashSighting>, serde_json::Error> {
+pub(super) fn read_crashes(spec: &Value) -> Result<Vec<CrashReport>, serde_json::Error> {
     let document = CrashDocument::deserialize(spec)?;
     let entries = document.crashes.into_iter();
     let entries = entries.filter_map(|value| CrashEntry::deserialize(value).ok());
@@ -79,9 +79,9 @@
 ///
 /// When one cannot be written as JSON.
 pub(super) fn write_crashes<'a>(
-    sightings: impl IntoIterator<Item = &'a CrashSighting>,
+    reports: impl IntoIterator<Item = &'a CrashReport>,
 ) -> Result<Value, serde_json::Error> {
-    let entries = sightings.into_iter();
+    let entries = reports.into_iter();
     let entries = entries.map(|sighting| serde_json::to_value(CrashEntry::new(sighting)));
     serde_json::to_value(CrashDocument {
         crashes: entries.collect::<Result<_, _>>()?,
--- a/crates/beechsaddle/src/gateway/crashes/crash_probe.rs
+++ b/crates/beechsaddle/src/gateway/crashes/crash_probe.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use beechsaddle_core::gateway::{
-    AttemptEnd, CrashFacts, CrashSighting, RequestFingerprint, TargetPhase, TargetRecord,
+    AttemptEnd, CrashFacts, CrashReport, RequestFingerprint, TargetPhase, TargetRecord,
 };
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::report::LogLevel;
@@ -89,7 +89,7 @@
         .report
         .log(LogLevel::Warning, "target_crashed", fields);
     state.metrics.crashes_seen.inc();
-    let sighting = CrashSighting {
+    let sighting = CrashReport {
         fingerprint: run.fingerprint,
         target: run.target.incarnation(),
         facts: CrashFacts {
--- a/crates/beechsaddle/src/gateway/crashes/crash_store.rs
+++ b/crates/beechsaddle/src/gateway/crashes/crash_store.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use beechsaddle_core::gateway::{CrashFacts, CrashSighting, RequestFingerprint, TargetIncarnation};
+use beechsaddle_core::gateway::{CrashFacts, CrashReport, RequestFingerprint, TargetIncarnation};
 use beechsaddle_core::report::LogLevel;
 use beechsaddle_platform::{ObjectKind, StoreFailure, StoreObject};
 use tokio::time::sleep;
@@ -31,7 +31,7 @@
 
 impl StoredCrashes {
     /// Whether the store lacks something that changes a verdict.
-    fn lacks(&self, sighting: &CrashSighting) -> bool {
+    fn lacks(&self, sighting: &CrashReport) -> bool {
         let key = (sighting.fingerprint, sighting.target.clone());
         let facts = sighting.facts;
         self.crashes.get(&key).is_none_or(|known| {
@@ -41,12 +41,12 @@
     }
 
     /// Takes over an object; an older one changes nothing.
-    fn take(&mut self, revision: u64, sightings: &[CrashSighting]) {
+    fn take(&mut self, revision: u64, reports: &[CrashReport]) {
         if self.revision.is_some_and(|known| known >= revision) {
             return;
         }
         self.revision = Some(revision);
-        let crashes = sightings.iter().map(|sighting| {
+        let crashes = reports.iter().map(|sighting| {
             let key = (sighting.fingerprint, sighting.target.clone());
             (key, sighting.facts)
         });
@@ -59,8 +59,8 @@
     if object.name() != CRASHES_NAME {
         return;
     }
-    let sightings = match read_crashes(&object.spec) {
-        Ok(sightings) => sightings,
+    let reports = match read_crashes(&object.spec) {
+        Ok(reports) => reports,
         Err(error) => {
             let fields = [
                 ("duty", "crashes".to_owned()),
@@ -73,9 +73,9 @@
         }
     };
     let mut stored = state.crashes.stored.borrow_mut();
-    stored.take(object.revision(), &sightings);
+    stored.take(object.revision(), &reports);
     drop(stored);
-    let news = take_sightings(state, sightings);
+    let news = take_sightings(state, reports);
     spread_notes(state, news, NoteOrigin::Store);
 }
 
@@ -118,9 +118,9 @@
 
 /// Makes one write. A conflict is taken over, so that the next write is made from what is there.
 async fn write_once(state: &Rc<GatewayState>) -> Result<(), StoreFailure> {
-    let sightings: Vec<_> = state.crashes.book.borrow().shared().collect();
+    let reports: Vec<_> = state.crashes.book.borrow().shared().collect();
     let spec =
-        write_crashes(&sightings).map_err(|error| StoreFailure::Malformed(error.to_string()))?;
+        write_crashes(&reports).map_err(|error| StoreFailure::Malformed(error.to_string()))?;
     let known = state.crashes.stored.borrow().revision;
     let started = state.now();
     let (kind, name) = (ObjectKind::Crashes, CRASHES_NAME);
@@ -132,7 +132,7 @@
     match written {
         Ok(object) => {
             let mut stored = state.crashes.stored.borrow_mut();
-            stored.take(object.revision(), &sightings);
+            stored.take(object.revision(), &reports);
         }
         Err(StoreFailure::Conflict(Some(object))) => take_object(state, &object),
         // An operator has removed it, or an answer did not say what is there: it is read and tried again.
--- a/crates/beechsaddle/src/gateway/gateway_state.rs
+++ b/crates/beechsaddle/src/gateway/gateway_state.rs
@@ -5,7 +5,7 @@
 
 use beechsaddle_core::backoff::RetryBackoff;
 use beechsaddle_core::gateway::{
-    GatewayConfig, LinkMeter, LinkWay, RetryShare, RosterChange, RotationGate, TargetRoster,
+    GatewayConfig, LinkDirection, LinkMeter, RetryShare, RosterChange, RotationGate, TargetRoster,
     TokenEscrow,
 };
 use beechsaddle_core::prelude::*;
@@ -170,18 +170,18 @@
     }
 
     /// Notes a request or a whole answer on the router's link.
-    pub(super) fn note_message(&self, way: LinkWay, body: &Bytes) {
+    pub(super) fn record_message(&self, way: LinkDirection, body: &Bytes) {
         let now = self.now();
         let mut link = self.link.borrow_mut();
-        link.note_message(now, way, body.len() as u64);
+        link.record_message(now, way, body.len() as u64);
     }
 
     /// Notes a part of a stream that comes in over the router's link and goes out over it.
-    pub(super) fn note_part(&self, part: &Bytes) {
+    pub(super) fn record_part(&self, part: &Bytes) {
         let now = self.now();
         let mut link = self.link.borrow_mut();
-        for way in [LinkWay::In, LinkWay::Out] {
-            link.note_part(now, way, part.len() as u64);
+        for way in [LinkDirection::In, LinkDirection::Out] {
+            link.record_part(now, way, part.len() as u64);
         }
     }
 
@@ -210,7 +210,7 @@
     /// Whether the router has left the rotation because its own link was full.
     pub(super) fn has_left_rotation(&self) -> bool {
         let policy = self.settings().policy;
-        policy.leaves_full_link && self.rotation.borrow().is_out(self.now())
+        policy.leaves_full_link && self.rotation.borrow().is_out_of_rotation(self.now())
     }
 
     /// Notes that all changes of targets up to a time are known.
@@ -281,8 +281,8 @@
     /// seconds, though the store told of it in time.
     fn note_store_away(&self) {
         let now = self.now();
-        self.roster.borrow_mut().note_away(now);
-        self.store_health.note_away(now);
+        self.roster.borrow_mut().record_outage(now);
+        self.store_health.record_outage(now);
     }
 
     /// Notes that the store answered.
--- a/crates/beechsaddle/src/gateway/ledger_notes.rs
+++ b/crates/beechsaddle/src/gateway/ledger_notes.rs
@@ -17,7 +17,7 @@
 
 use super::gateway_state::GatewayState;
 use super::ledger_store::StoredLedger;
-use super::token_lending::{LOAN_SPAN, note_down};
+use super::token_lending::{LOAN_SPAN, mark_down};
 
 /// A ledger as another keeper has written it.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
 ) -> Result<(), serde_json::Error> {
     let ledger: BudgetLedger = serde_json::from_slice(ledger)?;
     let facts = state.escrow.borrow().facts(state.now(), &workspace);
-    if facts.is_some_and(|facts| facts.role == EscrowRole::Keeper) {
+    if facts.is_some_and(|facts| facts.role == EscrowRole::Allocator) {
         let note = LedgerNote {
             stored: StoredLedger { revision, ledger },
             told_at: state.now(),
@@ -81,18 +81,18 @@
 ) {
     let keepers: Vec<_> = {
         let ring = state.lending.ring.borrow();
-        let keepers = ring.foreign_keepers(state.now(), workspace);
+        let keepers = ring.foreign_allocators(state.now(), workspace);
         keepers.into_iter().cloned().collect()
     };
-    for keeper in keepers {
+    for allocator in keepers {
         let (state, workspace, stored) = (Rc::clone(state), workspace.clone(), stored.clone());
-        spawn_local(async move { tell_keeper(&state, &keeper, &workspace, &stored).await });
+        spawn_local(async move { tell_keeper(&state, &allocator, &workspace, &stored).await });
     }
 }
 
 async fn tell_keeper(
     state: &GatewayState,
-    keeper: &PeerRecord,
+    allocator: &PeerRecord,
     workspace: &WorkspaceName,
     stored: &StoredLedger,
 ) {
@@ -106,10 +106,10 @@
     };
     let secret = state.lending.secret();
     let links = &state.lending.links;
-    let told = links.note_ledger(keeper, &secret, workspace, stored.revision, &body);
+    let told = links.note_ledger(allocator, &secret, workspace, stored.revision, &body);
     match timeout(LOAN_SPAN, told).await {
         Ok(Ok(())) => {}
-        Ok(Err(error)) => drop(note_down(state, keeper, &error)),
-        Err(_) => drop(note_down(state, keeper, "no answer in time")),
+        Ok(Err(error)) => drop(mark_down(state, allocator, &error)),
+        Err(_) => drop(mark_down(state, allocator, "no answer in time")),
     }
 }
--- a/crates/beechsaddle/src/gateway/limits/limit_ask.rs
+++ b/crates/beechsaddle/src/gateway/limits/limit_ask.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use beechsaddle_core::gateway::{PeerRecord, ShareReply, TargetGauge, TargetLimit, TargetRecord};
+use beechsaddle_core::gateway::{PeerRecord, PermitReply, TargetLimit, TargetRecord, TargetStats};
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::report::LogLevel;
 use tokio::task::spawn_local;
@@ -11,7 +11,7 @@
 
 use super::limit_desk::{PlaceQuestion, answer_place};
 use crate::gateway::gateway_state::GatewayState;
-use crate::gateway::token_lending::{LOAN_SPAN, note_down};
+use crate::gateway::token_lending::{LOAN_SPAN, mark_down};
 
 /// How long a call waits for a place before it turns to another target: some round trips.
 const ASK_SPAN: Duration = Duration::from_millis(100);
@@ -27,16 +27,16 @@
     sent_at: ClockTime,
 ) {
     let now = state.now();
-    let (mut is_changed, mut heard) = (false, None);
-    change_gauge(state, target, |gauge| {
-        is_changed = gauge.limit.note(now, per_s, sent_at);
-        heard = gauge.limit.heard();
+    let (mut is_changed, mut last_received) = (false, None);
+    change_gauge(state, target, |stats| {
+        is_changed = stats.limit.record(now, per_s, sent_at);
+        last_received = stats.limit.last_received();
     });
-    let Some(heard) = heard else {
+    let Some(last_received) = last_received else {
         return;
     };
     let mut share = state.limits.share.borrow_mut();
-    share.note(&target.incarnation(), heard);
+    share.record(&target.incarnation(), last_received);
     drop(share);
     if is_changed {
         let limit = per_s.map_or("none".to_owned(), |per_s| per_s.to_string());
@@ -44,7 +44,7 @@
         state.report.log(LogLevel::Info, "target_limit", fields);
     }
     if is_changed && per_s.is_none() {
-        tell_end(state, target, heard);
+        tell_end(state, target, last_received);
     }
 }
 
@@ -70,7 +70,7 @@
     let known = {
         let roster = state.roster.borrow();
         let entry = roster.get(&target.name);
-        entry.and_then(|entry| entry.gauge.limit.in_force())
+        entry.and_then(|entry| entry.stats.limit.in_force())
     };
     let Some(limit) = known else {
         return true;
@@ -81,12 +81,12 @@
     };
     let reply = ask_share(state, question).await;
     let now = state.now();
-    change_gauge(state, target, |gauge| match reply {
-        ShareReply::Granted => gauge.limit.note_granted(),
-        ShareReply::Free(limit) => gauge.limit.take(limit),
-        ShareReply::Wait { wait_ms } => gauge.limit.note_refused(now, wait_ms),
+    change_gauge(state, target, |stats| match reply {
+        PermitReply::Granted => stats.limit.record_granted(),
+        PermitReply::Free(limit) => stats.limit.take(limit),
+        PermitReply::Wait { wait_ms } => stats.limit.record_refused(now, wait_ms),
     });
-    let has_place = !matches!(reply, ShareReply::Wait { .. });
+    let has_place = !matches!(reply, PermitReply::Wait { .. });
     if !has_place {
         state.metrics.places_refused.inc();
     }
@@ -94,14 +94,14 @@
 }
 
 /// Asks the router that gives out the target's places. A place that is given and not heard of in time stays unused.
-async fn ask_share(state: &Rc<GatewayState>, question: PlaceQuestion) -> ShareReply {
+async fn ask_share(state: &Rc<GatewayState>, question: PlaceQuestion) -> PermitReply {
     let Some(peer) = leader_of(state, &question) else {
         return answer_place(state, &question);
     };
     let asking = spawn_local(ask_peer(Rc::clone(state), peer, question));
     match timeout(ASK_SPAN, asking).await {
         Ok(Ok(Some(reply))) => reply,
-        Ok(_) | Err(_) => ShareReply::Wait { wait_ms: SILENT_MS },
+        Ok(_) | Err(_) => PermitReply::Wait { wait_ms: SILENT_MS },
     }
 }
 
@@ -110,7 +110,7 @@
     state: Rc<GatewayState>,
     peer: PeerRecord,
     question: PlaceQuestion,
-) -> Option<ShareReply> {
+) -> Option<PermitReply> {
     let secret = state.lending.secret();
     let now = state.now();
     let links = &state.lending.links;
@@ -120,7 +120,7 @@
         Ok(Err(error)) => error,
         Err(_) => "no answer in time".to_owned(),
     };
-    note_down(&state, &peer, &failure);
+    mark_down(&state, &peer, &failure);
     None
 }
 
@@ -128,13 +128,13 @@
 fn change_gauge(
     state: &GatewayState,
     target: &TargetRecord,
-    change: impl FnOnce(&mut TargetGauge),
+    change: impl FnOnce(&mut TargetStats),
 ) {
     let mut roster = state.roster.borrow_mut();
     let is_same = roster
         .get(&target.name)
         .is_some_and(|entry| entry.record.started == target.started);
-    if let Some(gauge) = roster.gauge_mut(&target.name).filter(|_| is_same) {
-        change(gauge);
+    if let Some(stats) = roster.stats_mut(&target.name).filter(|_| is_same) {
+        change(stats);
     }
 }
--- a/crates/beechsaddle/src/gateway/limits/limit_desk.rs
+++ b/crates/beechsaddle/src/gateway/limits/limit_desk.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 
 use beechsaddle_core::gateway::{
-    LimitShare, ShareRank, ShareReply, TargetIncarnation, TargetLimit,
+    IssuerRank, PermitIssuer, PermitReply, TargetIncarnation, TargetLimit,
 };
 
 use crate::gateway::gateway_state::GatewayState;
@@ -11,7 +11,7 @@
 /// The places that this router gives out.
 #[derive(Default)]
 pub(in crate::gateway) struct LimitDesk {
-    pub(super) share: RefCell<LimitShare>,
+    pub(super) share: RefCell<PermitIssuer>,
 }
 
 /// A question for a place at a target.
@@ -27,13 +27,13 @@
 pub(in crate::gateway) fn answer_place(
     state: &GatewayState,
     question: &PlaceQuestion,
-) -> ShareReply {
+) -> PermitReply {
     let now = state.now();
     let ring = state.lending.ring.borrow();
     let rank = match ring.is_first(question.target.name.as_str()) {
-        true => ShareRank::First,
-        false => ShareRank::StandIn,
+        true => IssuerRank::First,
+        false => IssuerRank::Substitute,
     };
     let mut share = state.limits.share.borrow_mut();
-    share.try_take(now, &question.target, question.limit, rank)
+    share.try_take_permit(now, &question.target, question.limit, rank)
 }
--- a/crates/beechsaddle/src/gateway/news/follow_call.rs
+++ b/crates/beechsaddle/src/gateway/news/follow_call.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use beechsaddle_core::gateway::{FollowDoubt, NewsBatch, PeerRecord};
+use beechsaddle_core::gateway::{ChangeBatch, FollowFailure, PeerRecord};
 use beechsaddle_core::report::LogLevel;
 use beechsaddle_platform::{ObjectKind, StoreNews};
 use tokio::time::timeout;
 
 use crate::gateway::gateway_metrics::WordLabel;
 use crate::gateway::gateway_state::GatewayState;
-use crate::gateway::token_lending::note_down;
+use crate::gateway::token_lending::mark_down;
 
 /// How much longer than it may wait a follower may take to answer: a hundred times the way within a domain, and
 /// short against the bound on new configurations.
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::gateway) enum FollowReply {
     /// Changes, the oldest first; none if nothing changed.
-    News(Vec<NewsBatch>),
+    News(Vec<ChangeBatch>),
     /// Changes after that revision are not kept, or are too large to be passed on.
     Gone,
     /// It cannot reach the store, or what it knows may be old.
@@ -78,10 +78,10 @@
         }
         FollowReply::Away => {
             // This router may reach the store: it asks it next, and finds out.
-            state.store_health.note_away(state.now());
-            note_doubt(state, peer, FollowDoubt::Away)
+            state.store_health.record_outage(state.now());
+            record_failure(state, peer, FollowFailure::Away)
         }
-        FollowReply::Beginning => note_doubt(state, peer, FollowDoubt::Beginning),
+        FollowReply::Beginning => record_failure(state, peer, FollowFailure::Beginning),
     }
 }
 
@@ -89,7 +89,7 @@
 fn read_batches(
     state: &GatewayState,
     peer: &PeerRecord,
-    batches: &[NewsBatch],
+    batches: &[ChangeBatch],
     revision: u64,
 ) -> FollowStep {
     let read = batches
@@ -110,14 +110,14 @@
 }
 
 fn note_silent(state: &GatewayState, peer: &PeerRecord, error: &str) -> FollowStep {
-    note_down(state, peer, error);
-    note_doubt(state, peer, FollowDoubt::Silent)
+    mark_down(state, peer, error);
+    record_failure(state, peer, FollowFailure::Silent)
 }
 
-fn note_doubt(state: &GatewayState, peer: &PeerRecord, doubt: FollowDoubt) -> FollowStep {
+fn record_failure(state: &GatewayState, peer: &PeerRecord, doubt: FollowFailure) -> FollowStep {
     count(state, doubt.as_str());
     let mut choice = state.relay.choice.borrow_mut();
-    choice.note_doubt(state.now(), &peer.host, doubt);
+    choice.record_failure(state.now(), &peer.host, doubt);
     FollowStep::Doubted
 }
 
--- a/crates/beechsaddle/src/gateway/news/news_relay.rs
+++ b/crates/beechsaddle/src/gateway/news/news_relay.rs
@@ -4,14 +4,14 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
-use beechsaddle_core::gateway::{NewsChoice, NewsLog, NewsReply};
+use beechsaddle_core::gateway::{ChangeLog, ChangeReply, SourceSelector};
 use beechsaddle_platform::{ObjectKind, StoreListing, StoreNews};
 use tokio::sync::Notify;
 
 /// What is known of one kind of objects.
 #[derive(Debug, Default)]
 struct KindNews {
-    log: NewsLog,
+    log: ChangeLog,
     /// The revision of each object, to tell what a listing changes.
     revisions: BTreeMap<String, u64>,
 }
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 pub(in crate::gateway) struct NewsRelay {
     /// Whom this router follows.
-    pub(in crate::gateway) choice: RefCell<NewsChoice>,
+    pub(in crate::gateway) choice: RefCell<SourceSelector>,
     /// Wakes those that follow this router.
     pub(in crate::gateway) changed: Notify,
     kinds: RefCell<BTreeMap<ObjectKind, KindNews>>,
@@ -80,7 +80,7 @@
 
     fn add(&self, known: &mut KindNews, news: &StoreNews) -> Result<(), serde_json::Error> {
         if news.events.is_empty() && news.unreadable.is_empty() {
-            known.log.note_unchanged(news.revision);
+            known.log.record_unchanged(news.revision);
             return Ok(());
         }
         match news.try_encode() {
@@ -114,11 +114,11 @@
     }
 
     /// What is known of a kind after a revision.
-    pub(in crate::gateway) fn since(&self, kind: ObjectKind, revision: u64) -> NewsReply {
+    pub(in crate::gateway) fn since(&self, kind: ObjectKind, revision: u64) -> ChangeReply {
         let kinds = self.kinds.borrow();
         kinds
             .get(&kind)
-            .map_or(NewsReply::Gone, |known| known.log.since(revision))
+            .map_or(ChangeReply::Gone, |known| known.log.since(revision))
     }
 
     /// The newest revision of a kind that is known; 0 before the first.
--- a/crates/beechsaddle/src/gateway/news/relay_server.rs
+++ b/crates/beechsaddle/src/gateway/news/relay_server.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use beechsaddle_core::gateway::{NewsBatch, NewsReply};
+use beechsaddle_core::gateway::{ChangeBatch, ChangeReply};
 use beechsaddle_platform::ObjectKind;
 use tokio::time::{Instant, sleep_until};
 
@@ -58,7 +58,7 @@
     let now = state.now();
     let mut choice = state.relay.choice.borrow_mut();
     if !choice.is_follower(now, &state.lending.ring.borrow()) {
-        choice.note_asked(now);
+        choice.record_asked(now);
         return Some(FollowReply::Beginning);
     }
     if is_old(state) || !state.store_health.answers() {
@@ -69,10 +69,10 @@
         return None;
     }
     match state.relay.since(kind, revision) {
-        NewsReply::News(batches) if size_of(&batches) > RELAYED_MAX => Some(FollowReply::Gone),
-        NewsReply::News(batches) => Some(FollowReply::News(batches)),
-        NewsReply::Gone => Some(FollowReply::Gone),
-        NewsReply::Nothing => None,
+        ChangeReply::News(batches) if size_of(&batches) > RELAYED_MAX => Some(FollowReply::Gone),
+        ChangeReply::News(batches) => Some(FollowReply::News(batches)),
+        ChangeReply::Gone => Some(FollowReply::Gone),
+        ChangeReply::Nothing => None,
     }
 }
 
@@ -82,7 +82,7 @@
         return FollowReply::News(Vec::new());
     }
     let mut choice = state.relay.choice.borrow_mut();
-    choice.note_asked(state.now());
+    choice.record_asked(state.now());
     FollowReply::Beginning
 }
 
@@ -91,6 +91,6 @@
     state.store_age_ms() > state.settings().relay_age.as_millis() as u64
 }
 
-fn size_of(batches: &[NewsBatch]) -> usize {
+fn size_of(batches: &[ChangeBatch]) -> usize {
     batches.iter().map(|batch| batch.body.len()).sum()
 }
--- a/crates/beechsaddle/src/gateway/news/store_follow.rs
+++ b/crates/beechsaddle/src/gateway/news/store_follow.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use beechsaddle_core::gateway::NewsSource;
+use beechsaddle_core::gateway::ChangeSource;
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::report::LogLevel;
 use beechsaddle_platform::{ObjectKind, StoreFailure, StoreListing, StoreNews};
@@ -106,8 +106,8 @@
         choice.source(state.now(), &state.lending.ring.borrow())
     };
     let step = match source {
-        NewsSource::Store => FollowStep::Gone,
-        NewsSource::Router(peer) => follow_router(state, &peer, kind, revision).await,
+        ChangeSource::Store => FollowStep::Gone,
+        ChangeSource::Router(peer) => follow_router(state, &peer, kind, revision).await,
     };
     match step {
         FollowStep::News(batches, known) => {
--- a/crates/beechsaddle/src/gateway/news/store_probe.rs
+++ b/crates/beechsaddle/src/gateway/news/store_probe.rs
@@ -71,7 +71,7 @@
     }
 
     /// Notes that the store is out of reach of this router, or of the one that it follows.
-    pub(in crate::gateway) fn note_away(&self, now: ClockTime) {
+    pub(in crate::gateway) fn record_outage(&self, now: ClockTime) {
         self.away_at.set(Some(now));
     }
 
--- a/crates/beechsaddle/src/gateway/peer_codec.rs
+++ b/crates/beechsaddle/src/gateway/peer_codec.rs
@@ -1,6 +1,6 @@
 //! The `peer_codec` module provides crashes and times as routers tell them to each other.
 
-use beechsaddle_core::gateway::{CrashFacts, CrashSighting, RequestFingerprint, TargetIncarnation};
+use beechsaddle_core::gateway::{CrashFacts, CrashReport, RequestFingerprint, TargetIncarnation};
 use beechsaddle_core::prelude::*;
 use beechsaddle_wire::lending_capnp::crash_note;
 
@@ -13,7 +13,7 @@
 pub(super) fn write_note(
     mut note: crash_note::Builder<'_>,
     now: ClockTime,
-    sighting: &CrashSighting,
+    sighting: &CrashReport,
 ) {
     let facts = sighting.facts;
     note.set_fingerprint(&sighting.fingerprint.to_bytes());
@@ -33,10 +33,10 @@
 pub(super) fn read_note(
     note: crash_note::Reader<'_>,
     now: ClockTime,
-) -> Result<CrashSighting, capnp::Error> {
+) -> Result<CrashReport, capnp::Error> {
     let fingerprint = RequestFingerprint::try_from_bytes(note.get_fingerprint()?)
         .ok_or_else(|| capnp::Error::failed("a fingerprint has 16 bytes".to_owned()))?;
-    Ok(CrashSighting {
+    Ok(CrashReport {
         fingerprint,
         target: read_incarnation(note.get_target()?, note.get_started())?,
         facts: CrashFacts {
--- a/crates/beechsaddle/src/gateway/peer_link.rs
+++ b/crates/beechsaddle/src/gateway/peer_link.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use beechsaddle_core::gateway::{
-    ClockReading, CrashSighting, LoanReply, LoanRequest, LoanReturn, NewsBatch, PeerRecord,
-    ShareReply, TargetLimit,
+    ChangeBatch, ClockReading, CrashReport, LoanReply, LoanRequest, LoanReturn, PeerRecord,
+    PermitReply, TargetLimit,
 };
 use beechsaddle_core::prelude::*;
 use beechsaddle_platform::ObjectKind;
@@ -231,7 +231,7 @@
         peer: &PeerRecord,
         secret: &str,
         now: ClockTime,
-        sightings: &[CrashSighting],
+        reports: &[CrashReport],
         is_spread: bool,
     ) -> Result<(), String> {
         let link = self.open(peer).await?;
@@ -239,8 +239,8 @@
         let mut parameters = call.get();
         parameters.set_secret(secret);
         parameters.set_is_spread(is_spread);
-        let mut notes = parameters.init_notes(sightings.len() as u32);
-        for (index, sighting) in sightings.iter().enumerate() {
+        let mut notes = parameters.init_notes(reports.len() as u32);
+        for (index, sighting) in reports.iter().enumerate() {
             write_note(notes.reborrow().get(index as u32), now, sighting);
         }
         match call.send().promise.await {
@@ -258,7 +258,7 @@
         secret: &str,
         now: ClockTime,
         question: &PlaceQuestion,
-    ) -> Result<ShareReply, String> {
+    ) -> Result<PermitReply, String> {
         let link = self.open(peer).await?;
         let mut call = link.limit_share().take_place_request();
         let mut parameters = call.get();
@@ -267,18 +267,18 @@
         parameters.set_started(question.target.started.unwrap_or(0));
         parameters.set_per_s(question.limit.per_s.unwrap_or(0.0));
         parameters.set_is_free(question.limit.per_s.is_none());
-        parameters.set_age_ms(now.since(question.limit.heard_at));
+        parameters.set_age_ms(now.since(question.limit.received_at));
         let reply = call.send().promise.await;
         let reply = reply.map_err(|error| error.to_string())?;
         let answer = reply.get().map_err(|error| error.to_string())?;
         match answer.get_outcome() {
-            Ok(PlaceOutcome::Granted) => Ok(ShareReply::Granted),
-            Ok(PlaceOutcome::Wait) => Ok(ShareReply::Wait {
+            Ok(PlaceOutcome::Granted) => Ok(PermitReply::Granted),
+            Ok(PlaceOutcome::Wait) => Ok(PermitReply::Wait {
                 wait_ms: answer.get_wait_ms(),
             }),
-            Ok(PlaceOutcome::Free) => Ok(ShareReply::Free(TargetLimit {
+            Ok(PlaceOutcome::Free) => Ok(PermitReply::Free(TargetLimit {
                 per_s: None,
-                heard_at: time_before(now, answer.get_age_ms()),
+                received_at: time_before(now, answer.get_age_ms()),
             })),
             Err(error) => Err(error.to_string()),
         }
@@ -359,11 +359,11 @@
 fn read_batches(
     batches: capnp::data_list::Reader<'_>,
     revision: u64,
-) -> Result<Vec<NewsBatch>, String> {
+) -> Result<Vec<ChangeBatch>, String> {
     let mut read = Vec::new();
     for body in batches.iter() {
         let body = body.map_err(|error| error.to_string())?;
-        read.push(NewsBatch {
+        read.push(ChangeBatch {
             revision,
             body: body.into(),
         });
--- a/crates/beechsaddle/src/gateway/peer_server.rs
+++ b/crates/beechsaddle/src/gateway/peer_server.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use beechsaddle_core::gateway::{LoanReply, LoanRequest, LoanReturn, ShareReply, TargetLimit};
+use beechsaddle_core::gateway::{LoanReply, LoanRequest, LoanReturn, PermitReply, TargetLimit};
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::report::LogLevel;
 use beechsaddle_platform::ObjectKind;
@@ -229,11 +229,11 @@
         let parameters = parameters.get()?;
         self.check_secret(parameters.get_secret()?)?;
         let now = self.state.now();
-        let mut sightings = Vec::new();
+        let mut reports = Vec::new();
         for note in parameters.get_notes()?.iter() {
-            sightings.push(read_note(note, now)?);
+            reports.push(read_note(note, now)?);
         }
-        take_notes(&self.state, sightings, parameters.get_is_spread());
+        take_notes(&self.state, reports, parameters.get_is_spread());
         Ok(())
     }
 }
@@ -251,19 +251,19 @@
             target: read_incarnation(parameters.get_target()?, parameters.get_started())?,
             limit: TargetLimit {
                 per_s: (!parameters.get_is_free()).then_some(parameters.get_per_s()),
-                heard_at: time_before(now, parameters.get_age_ms()),
+                received_at: time_before(now, parameters.get_age_ms()),
             },
         };
         let mut answer = results.get();
         match answer_place(&self.state, &question) {
-            ShareReply::Granted => answer.set_outcome(PlaceOutcome::Granted),
-            ShareReply::Wait { wait_ms } => {
+            PermitReply::Granted => answer.set_outcome(PlaceOutcome::Granted),
+            PermitReply::Wait { wait_ms } => {
                 answer.set_outcome(PlaceOutcome::Wait);
                 answer.set_wait_ms(wait_ms);
             }
-            ShareReply::Free(limit) => {
+            PermitReply::Free(limit) => {
                 answer.set_outcome(PlaceOutcome::Free);
-                answer.set_age_ms(now.since(limit.heard_at));
+                answer.set_age_ms(now.since(limit.received_at));
             }
         }
         Ok(())
--- a/crates/beechsaddle/src/gateway/plain_exchange.rs
+++ b/crates/beechsaddle/src/gateway/plain_exchange.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beechsaddle_core::gateway::{AttemptEnd, LinkWay, TargetChoice, TargetRecord};
+use beechsaddle_core::gateway::{AttemptEnd, LinkDirection, TargetChoice, TargetRecord};
 use beechsaddle_platform::answer_headers;
 use bytes::Bytes;
 use http::{HeaderMap, Method, Response, StatusCode};
@@ -88,7 +88,7 @@
                 guard.look_for_crash(end).await;
             }
             None => {
-                guard.note_first();
+                guard.record_first();
                 guard.note_success();
                 note_completed(&call.state, call.fingerprint);
             }
@@ -165,7 +165,7 @@
     let roster = call.state.roster.borrow();
     let usual_ms = roster
         .get(&target.name)
-        .and_then(|entry| entry.gauge.speed_ms(call.state.now()))
+        .and_then(|entry| entry.stats.speed_ms(call.state.now()))
         .unwrap_or(0.0);
     let objective_ms = call.route.objective_ms as f64;
     let patience_ms = (objective_ms * PATIENCE_PART)
@@ -176,7 +176,7 @@
 
 fn pass_on(call: &CallContext, answer: WholeAnswer) -> Response<AnswerBody> {
     call.record.note("status", answer.status.as_u16());
-    call.record.note_first();
+    call.record.record_first();
     call.record.end(match answer.status.is_server_error() {
         true => "target_failed",
         false => {
@@ -184,8 +184,8 @@
             ANSWERED
         }
     });
-    for way in [LinkWay::In, LinkWay::Out] {
-        call.state.note_message(way, &answer.body);
+    for way in [LinkDirection::In, LinkDirection::Out] {
+        call.state.record_message(way, &answer.body);
     }
     let mut response = Response::new(AnswerBody::whole(answer.body));
     *response.status_mut() = answer.status;
--- a/crates/beechsaddle/src/gateway/status_view.rs
+++ b/crates/beechsaddle/src/gateway/status_view.rs
@@ -16,7 +16,7 @@
     GatewayStatus {
         gateway: state.me.clone(),
         domain: state.settings().domain.clone(),
-        phase: phase_word(state.phase()).to_owned(),
+        phase: phase_name(state.phase()).to_owned(),
         open_calls: state.open_calls.get(),
         store_age_ms: state.store_age_ms(),
         config: view_config(state),
@@ -65,19 +65,19 @@
 }
 
 fn view_target(now: ClockTime, entry: &RosterEntry) -> GatewayTargetStatus {
-    let gauge = &entry.gauge;
+    let stats = &entry.stats;
     GatewayTargetStatus {
         target: entry.record.name.clone(),
         service: entry.record.service.clone(),
-        phase: entry.phase_word().to_owned(),
-        active: gauge.active,
-        ejected_for_ms: gauge.ejected_for_ms(now),
-        failure_share: gauge.failure_share(now),
-        heard_age_ms: now.since(gauge.progress_at),
+        phase: entry.phase_name().to_owned(),
+        active: stats.active,
+        ejected_for_ms: stats.ejected_for_ms(now),
+        failure_share: stats.failure_share(now),
+        heard_age_ms: now.since(stats.progress_at),
     }
 }
 
-fn phase_word(phase: GatewayPhase) -> &'static str {
+fn phase_name(phase: GatewayPhase) -> &'static str {
     match phase {
         GatewayPhase::Serving => "serving",
         GatewayPhase::Leaving => "leaving",
--- a/crates/beechsaddle/src/gateway/stream_relay.rs
+++ b/crates/beechsaddle/src/gateway/stream_relay.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    fn note_part(&mut self, call: &CallContext) {
+    fn record_part(&mut self, call: &CallContext) {
         self.silent_since = call.state.now();
         self.limit_ms = self.limit_ms.map(|_| STALL_MS);
     }
@@ -206,9 +206,9 @@
             match timeout(pause, attempt.body.frame()).await {
                 Ok(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) if !data.is_empty() => {
-                        attempt.guard.note_first();
+                        attempt.guard.record_first();
                         attempt.guard.note_progress();
-                        self.stall.note_part(&self.call);
+                        self.stall.record_part(&self.call);
                         return NextPart::Data(data);
                     }
                     // Trailers and empty parts carry nothing for the caller.
@@ -239,7 +239,7 @@
             return None;
         }
         self.call.record.note_event();
-        self.call.state.note_part(&part.bytes);
+        self.call.state.record_part(&part.bytes);
         Some(Ok(part.bytes))
     }
 
--- a/crates/beechsaddle/src/gateway/target_choice.rs
+++ b/crates/beechsaddle/src/gateway/target_choice.rs
@@ -87,15 +87,15 @@
 pub(super) fn note_choice(call: &CallContext, choice: &TargetChoice) {
     call.record.note("target", &choice.target);
     call.record.note("cost", choice.cost as u64);
-    call.record.note("home", choice.is_home);
+    call.record.note("home", choice.is_affinity_target);
     call.record.note("of", choice.candidates);
     let target = &choice.target;
     let roster = call.state.roster.borrow();
-    let active = roster.get(target).map(|entry| entry.gauge.active);
+    let active = roster.get(target).map(|entry| entry.stats.active);
     let fields = [
         ("target", target.to_string()),
         ("cost", (choice.cost as u64).to_string()),
-        ("home", choice.is_home.to_string()),
+        ("home", choice.is_affinity_target.to_string()),
         ("of", choice.candidates.to_string()),
         ("active", active.unwrap_or(0).to_string()),
         ("store_age_ms", call.state.store_age_ms().to_string()),
@@ -111,6 +111,6 @@
     let roster = call.state.roster.borrow();
     let paused = roster
         .ready(&call.service)
-        .map(|entry| entry.gauge.limit.paused_for_ms(now));
+        .map(|entry| entry.stats.limit.paused_for_ms(now));
     paused.filter(|paused_ms| *paused_ms > 0).min()
 }
--- a/crates/beechsaddle/src/gateway/target_send.rs
+++ b/crates/beechsaddle/src/gateway/target_send.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use beechsaddle_core::gateway::{AttemptEnd, LinkWay, TargetRecord};
+use beechsaddle_core::gateway::{AttemptEnd, LinkDirection, TargetRecord};
 use beechsaddle_link::{HttpLink, LinkFailure, LinkOptions};
 use beechsaddle_platform::{AnswerFacts, ForwardFields, forward_headers};
 use bytes::Bytes;
@@ -56,7 +56,7 @@
     let pooled = call.state.pool.take(call.state.now(), target.address);
     if let Some(link) = pooled {
         let request = build_request(call, target, last_event, fetch_from);
-        call.state.note_message(LinkWay::Out, &call.body);
+        call.state.record_message(LinkDirection::Out, &call.body);
         match send_on(call, target, link, request, patience, false).await {
             // The target closed the idle connection before anything was written; that says nothing
             // of a new one.
@@ -66,7 +66,7 @@
     }
     let link = connect(target.address).await?;
     let request = build_request(call, target, last_event, fetch_from);
-    call.state.note_message(LinkWay::Out, &call.body);
+    call.state.record_message(LinkDirection::Out, &call.body);
     let sent = send_on(call, target, link, request, patience, true).await;
     sent.map_err(|(failure, _)| failure)
 }
--- a/crates/beechsaddle/src/gateway/token_borrow.rs
+++ b/crates/beechsaddle/src/gateway/token_borrow.rs
@@ -13,7 +13,7 @@
 
 use super::gateway_state::GatewayState;
 use super::peer_link::LenderAnswer;
-use super::token_lending::{LOAN_SPAN, LoanFailure, note_down, update_roles};
+use super::token_lending::{LOAN_SPAN, LoanFailure, mark_down, update_roles};
 
 /// How long routers of the own domain are asked in turn, in milliseconds. After a loss of many most of those
 /// in line refuse a connection at once, and the next that runs is found in time for the call that waits.
@@ -47,7 +47,7 @@
         match ask_domain(state, workspace).await {
             DomainAnswer::Helped => return,
             DomainAnswer::Short => sleep(SHORT_PAUSE).await,
-            DomainAnswer::LedgerAway => return note_refused(state, workspace),
+            DomainAnswer::LedgerAway => return record_refused(state, workspace),
             DomainAnswer::Nobody => return ask_as_keeper(state, workspace).await,
         }
     }
@@ -64,19 +64,19 @@
 async fn ask_domain(state: &Rc<GatewayState>, workspace: &WorkspaceName) -> DomainAnswer {
     let until = state.now().plus_ms(LINE_MS);
     while state.now() < until {
-        let keeper = {
+        let allocator = {
             let ring = state.lending.ring.borrow();
-            ring.keeper(state.now(), workspace).cloned()
+            ring.allocator(state.now(), workspace).cloned()
         };
-        let Some(keeper) = keeper else {
+        let Some(allocator) = allocator else {
             return DomainAnswer::Nobody;
         };
-        match ask_peer(state, &keeper, workspace).await {
+        match ask_peer(state, &allocator, workspace).await {
             Ok(()) => return DomainAnswer::Helped,
             Err(LoanFailure::Short) => return DomainAnswer::Short,
             Err(LoanFailure::LedgerAway) if state.store_health.is_steady(state.now()) => {
                 let mut ring = state.lending.ring.borrow_mut();
-                ring.note_cut_off(state.now(), &keeper.host);
+                ring.mark_ledger_unreachable(state.now(), &allocator.host);
                 drop(ring);
                 update_roles(state);
             }
@@ -95,13 +95,13 @@
     state
         .escrow
         .borrow_mut()
-        .set_role(workspace, EscrowRole::Keeper);
+        .set_role(workspace, EscrowRole::Allocator);
     state.escrow_wake.notify_one();
     if state.is_ledger_away.get() {
         if !ask_foreign(state, workspace).await {
-            note_refused(state, workspace);
+            record_refused(state, workspace);
         }
-    } else if state.escrow.borrow().outgrows_ledger(workspace) {
+    } else if state.escrow.borrow().is_uncovered(workspace) {
         ask_for_remainders(state, workspace).await;
     }
 }
@@ -113,14 +113,14 @@
         return;
     }
     match ask_foreign(state, workspace).await {
-        true => pauses.borrow_mut().note_lent(workspace),
-        false => pauses.borrow_mut().note_refused(state.now(), workspace),
+        true => pauses.borrow_mut().record_lent(workspace),
+        false => pauses.borrow_mut().record_refused(state.now(), workspace),
     }
 }
 
-fn note_refused(state: &GatewayState, workspace: &WorkspaceName) {
+fn record_refused(state: &GatewayState, workspace: &WorkspaceName) {
     let mut pauses = state.lending.pauses.borrow_mut();
-    pauses.note_refused(state.now(), workspace);
+    pauses.record_refused(state.now(), workspace);
 }
 
 /// Asks the keepers of other domains, which may hold more than they need just now; tells whether one
@@ -128,11 +128,11 @@
 async fn ask_foreign(state: &Rc<GatewayState>, workspace: &WorkspaceName) -> bool {
     let keepers: Vec<_> = {
         let ring = state.lending.ring.borrow();
-        let keepers = ring.foreign_keepers(state.now(), workspace);
+        let keepers = ring.foreign_allocators(state.now(), workspace);
         keepers.into_iter().cloned().collect()
     };
-    for keeper in keepers {
-        if ask_peer(state, &keeper, workspace).await.is_ok() {
+    for allocator in keepers {
+        if ask_peer(state, &allocator, workspace).await.is_ok() {
             return true;
         }
     }
@@ -152,11 +152,11 @@
     let loan = begin_loan(state, peer, workspace, request);
     let answer = match timeout(LOAN_SPAN, loan).await {
         Ok(Ok(Ok(answer))) => answer,
-        Ok(Ok(Err(error))) => return Err(note_down(state, peer, &error)),
-        Ok(Err(_)) => return Err(note_down(state, peer, "the request was dropped")),
-        Err(_) => return Err(note_down(state, peer, "no answer in time")),
+        Ok(Ok(Err(error))) => return Err(mark_down(state, peer, &error)),
+        Ok(Err(_)) => return Err(mark_down(state, peer, "the request was dropped")),
+        Err(_) => return Err(mark_down(state, peer, "no answer in time")),
     };
-    if state.lending.ring.borrow_mut().note_up(&peer.host) {
+    if state.lending.ring.borrow_mut().mark_up(&peer.host) {
         let fields = [("peer", peer.host.to_string())];
         state.report.log(LogLevel::Info, "peer_regained", fields);
     }
@@ -238,19 +238,19 @@
 ) -> Result<(), LoanFailure> {
     let mut escrow = state.escrow.borrow_mut();
     if let Some(taken) = answer.taken {
-        escrow.note_taken(workspace, taken);
+        escrow.record_taken(workspace, taken);
     }
     let taken = match answer.reply {
         LoanReply::Lent(tokens) => {
             escrow.receive(workspace, request, tokens);
             state.metrics.tokens_borrowed.inc_by(tokens);
-            state.lending.pauses.borrow_mut().note_lent(workspace);
+            state.lending.pauses.borrow_mut().record_lent(workspace);
             Ok(())
         }
         // A keeper of another domain does not know what the others have left.
         LoanReply::Exhausted if peer.domain != state.settings().domain => Err(LoanFailure::Short),
         LoanReply::Exhausted => {
-            escrow.note_exhausted(state.now(), workspace, request.least);
+            escrow.record_exhausted(state.now(), workspace, request.least);
             Ok(())
         }
         LoanReply::Short => Err(LoanFailure::Short),
@@ -258,7 +258,7 @@
     };
     if answer.reply != LoanReply::LedgerAway {
         let mut ring = state.lending.ring.borrow_mut();
-        ring.note_in_reach(&peer.host);
+        ring.mark_ledger_reachable(&peer.host);
     }
     drop(escrow);
     state.escrow_changed.notify_waiters();
--- a/crates/beechsaddle/src/gateway/token_lender.rs
+++ b/crates/beechsaddle/src/gateway/token_lender.rs
@@ -25,7 +25,7 @@
     request: LoanRequest,
     is_foreign: bool,
 ) -> LoanReply {
-    note_request(state, workspace, request);
+    record_request(state, workspace, request);
     let waiting = LedgerWait::start(state, workspace, request.least);
     let until = Instant::now() + Duration::from_millis(LEDGER_WAIT_MS);
     loop {
@@ -44,7 +44,7 @@
         }
         waiting.begin();
         state.escrow_wake.notify_one();
-        let is_outgrown = state.escrow.borrow().outgrows_ledger(workspace);
+        let is_outgrown = state.escrow.borrow().is_uncovered(workspace);
         if is_away || is_outgrown || has_keeper(state, workspace) {
             want_tokens(state, workspace);
         }
@@ -58,9 +58,9 @@
 }
 
 /// Notes a request once, before tokens are looked for perhaps several times.
-fn note_request(state: &GatewayState, workspace: &WorkspaceName, request: LoanRequest) {
+fn record_request(state: &GatewayState, workspace: &WorkspaceName, request: LoanRequest) {
     let mut escrow = state.escrow.borrow_mut();
-    escrow.note_request(state.now(), workspace, request);
+    escrow.record_request(state.now(), workspace, request);
 }
 
 /// Whether what nobody has taken covers a request, as far as this router knows.
@@ -77,5 +77,5 @@
 /// keeper. Each router asks one that comes before it in the same order, so that no circle arises.
 fn has_keeper(state: &GatewayState, workspace: &WorkspaceName) -> bool {
     let ring = state.lending.ring.borrow();
-    ring.keeper(state.now(), workspace).is_some()
+    ring.allocator(state.now(), workspace).is_some()
 }
--- a/crates/beechsaddle/src/gateway/token_lending.rs
+++ b/crates/beechsaddle/src/gateway/token_lending.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use beechsaddle_core::gateway::{EscrowRole, LoanPauses, PeerRecord, PeerRing};
+use beechsaddle_core::gateway::{EscrowRole, LoanBackoff, PeerRecord, PeerRing};
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::report::LogLevel;
 use tokio::sync::Notify;
@@ -35,9 +35,9 @@
     pub(super) ring: RefCell<PeerRing>,
     pub(super) links: PeerLinks,
     /// Workspaces that nobody is asked for just now.
-    pub(super) pauses: RefCell<LoanPauses>,
+    pub(super) pauses: RefCell<LoanBackoff>,
     /// Workspaces whose keepers in other domains had nothing left beside a ledger that has too little.
-    pub(super) foreign_pauses: RefCell<LoanPauses>,
+    pub(super) foreign_pauses: RefCell<LoanBackoff>,
     active: RefCell<BTreeSet<WorkspaceName>>,
     secret: RefCell<String>,
     is_settled: Cell<bool>,
@@ -136,27 +136,27 @@
         escrow.set_fleet(ring.domain_count(), ring.router_count());
     }
     for workspace in escrow.counted() {
-        let keeper = ring.keeper(now, &workspace);
-        let role = match keeper {
+        let allocator = ring.allocator(now, &workspace);
+        let role = match allocator {
             Some(_) => EscrowRole::Borrower,
-            None => EscrowRole::Keeper,
+            None => EscrowRole::Allocator,
         };
         if escrow.set_role(&workspace, role) {
-            let keeper = keeper.map_or("self".to_owned(), |peer| peer.host.to_string());
-            let fields = [("workspace", workspace.to_string()), ("keeper", keeper)];
+            let allocator = allocator.map_or("self".to_owned(), |peer| peer.host.to_string());
+            let fields = [("workspace", workspace.to_string()), ("keeper", allocator)];
             state.report.log(LogLevel::Info, "keeper_changed", fields);
         }
     }
 }
 
 /// Passes over a router that did not answer.
-pub(super) fn note_down(state: &GatewayState, peer: &PeerRecord, error: &str) -> LoanFailure {
+pub(super) fn mark_down(state: &GatewayState, peer: &PeerRecord, error: &str) -> LoanFailure {
     state.lending.links.forget(&peer.host);
     // Behind a full link of its own every router seems silent: passing over one after the other would
     // make this one the keeper of everything, with nobody to borrow from.
     if !state.is_link_full() {
         let mut ring = state.lending.ring.borrow_mut();
-        ring.note_down(state.now(), &peer.host);
+        ring.mark_down(state.now(), &peer.host);
         drop(ring);
         update_roles(state);
     }
--- a/crates/beechsaddle/src/gateway/token_return.rs
+++ b/crates/beechsaddle/src/gateway/token_return.rs
@@ -12,7 +12,7 @@
 
 use super::gateway_state::GatewayState;
 use super::peer_link::ReturnFailure;
-use super::token_lending::{LOAN_SPAN, note_down};
+use super::token_lending::{LOAN_SPAN, mark_down};
 
 /// The shortest time between two returns of a workspace, in milliseconds: some calls, so that what one call
 /// leaves may serve the next.
@@ -51,35 +51,35 @@
     fn begin_one(&self, workspace: WorkspaceName) {
         let now = self.state.now();
         let ring = self.state.lending.ring.borrow();
-        let Some(keeper) = ring.keeper(now, &workspace).cloned() else {
+        let Some(allocator) = ring.allocator(now, &workspace).cloned() else {
             return;
         };
         drop(ring);
         let mut escrow = self.state.escrow.borrow_mut();
         if let Some(handed) = escrow.begin_return(now, &workspace) {
             let state = Rc::clone(&self.state);
-            spawn_local(async move { hand_back(&state, &keeper, &workspace, handed).await });
+            spawn_local(async move { hand_back(&state, &allocator, &workspace, handed).await });
         }
     }
 }
 
 async fn hand_back(
     state: &GatewayState,
-    keeper: &PeerRecord,
+    allocator: &PeerRecord,
     workspace: &WorkspaceName,
     handed: LoanReturn,
 ) {
     let secret = state.lending.secret();
     let links = &state.lending.links;
-    let returned = links.return_tokens(keeper, &secret, workspace, handed);
+    let returned = links.return_tokens(allocator, &secret, workspace, handed);
     let returned = match timeout(LOAN_SPAN, returned).await {
         Ok(returned) => returned,
         Err(_) => Err(ReturnFailure::Unknown("no answer in time".to_owned())),
     };
-    let outcome = take_outcome(state, keeper, workspace, handed, returned);
+    let outcome = take_outcome(state, allocator, workspace, handed, returned);
     let fields = [
         ("workspace", workspace.to_string()),
-        ("peer", keeper.host.to_string()),
+        ("peer", allocator.host.to_string()),
         ("outcome", outcome.to_owned()),
         ("tokens", handed.tokens.to_string()),
     ];
@@ -90,7 +90,7 @@
 /// Takes over what became of a return; gives a word for it.
 fn take_outcome(
     state: &GatewayState,
-    keeper: &PeerRecord,
+    allocator: &PeerRecord,
     workspace: &WorkspaceName,
     handed: LoanReturn,
     returned: Result<Option<u64>, ReturnFailure>,
@@ -100,7 +100,7 @@
         Ok(taken) => {
             escrow.finish_return(workspace, handed);
             if let Some(taken) = taken {
-                escrow.note_taken(workspace, taken);
+                escrow.record_taken(workspace, taken);
             }
             "returned"
         }
@@ -108,21 +108,21 @@
             escrow.undo_return(workspace, handed);
             // A router that ends has nobody else to give to; others try again.
             if escrow.is_closing() {
-                escrow.set_role(workspace, EscrowRole::Keeper);
+                escrow.set_role(workspace, EscrowRole::Allocator);
             }
             "refused"
         }
         Err(ReturnFailure::Unsent(error)) => {
             escrow.undo_return(workspace, handed);
             drop(escrow);
-            note_down(state, keeper, &error);
+            mark_down(state, allocator, &error);
             "unsent"
         }
         Err(ReturnFailure::Unknown(error)) => {
             // The keeper may have them: spending them here as well would overspend.
             escrow.lose_return(workspace, handed);
             drop(escrow);
-            note_down(state, keeper, &error);
+            mark_down(state, allocator, &error);
             "unknown"
         }
     }
