--- a/crates/beechsaddle/src/gateway/answer_body.rs
+++ b/crates/beechsaddle/src/gateway/answer_body.rs
@@ -1,4 +1,4 @@
-//! The `answer_body` module provides the bodies of answers to callers.
+//! The `answer_body` module provides the bodies of responses to callers.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -10,22 +10,22 @@
 use super::stream_relay::StreamBroken;
 use crate::calls::ConnectionMark;
 
-/// Parts of a relayed answer.
-pub(super) type PartStream = Pin<Box<dyn Stream<Item = Result<Bytes, StreamBroken>>>>;
+/// Chunks of a relayed response.
+pub(super) type BodyStream = Pin<Box<dyn Stream<Item = Result<Bytes, StreamBroken>>>>;
 
-/// A body of an answer.
+/// The body of a response.
 pub(super) enum AnswerBody {
-    /// It is here as a whole.
-    Whole(Option<Bytes>),
-    /// It comes in parts.
-    Parts(PartStream),
+    /// The complete body, already in memory.
+    Full(Option<Bytes>),
+    /// A body that is forwarded while the target sends it.
+    Streamed(BodyStream),
 }
 
 impl AnswerBody {
-    /// A body that is here as a whole.
-    pub(super) fn whole(bytes: impl Into<Bytes>) -> Self {
+    /// Creates a body from bytes that are already in memory.
+    pub(super) fn full(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
-        AnswerBody::Whole((!bytes.is_empty()).then_some(bytes))
+        AnswerBody::Full((!bytes.is_empty()).then_some(bytes))
     }
 }
 
@@ -38,41 +38,40 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
         match &mut *self {
-            AnswerBody::Whole(bytes) => Poll::Ready(bytes.take().map(Frame::data).map(Ok)),
-            AnswerBody::Parts(parts) => parts
+            AnswerBody::Full(bytes) => Poll::Ready(bytes.take().map(Frame::data).map(Ok)),
+            AnswerBody::Streamed(chunks) => chunks
                 .as_mut()
                 .poll_next(context)
-                .map(|part| part.map(|part| part.map(Frame::data))),
+                .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, AnswerBody::Whole(None))
+        matches!(self, AnswerBody::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(Some(bytes)) => SizeHint::with_exact(bytes.len() as u64),
-            AnswerBody::Whole(None) => SizeHint::with_exact(0),
-            AnswerBody::Parts(_) => SizeHint::default(),
+            AnswerBody::Full(Some(bytes)) => SizeHint::with_exact(bytes.len() as u64),
+            AnswerBody::Full(None) => SizeHint::with_exact(0),
+            AnswerBody::Streamed(_) => SizeHint::default(),
         }
     }
 }
 
-/// An answer's body that tells its connection when it has gone out.
-pub(super) struct MarkedParts {
+/// A response body that marks the request on its connection as ended when it is dropped.
+pub(super) struct TrackedBody {
     body: AnswerBody,
     mark: ConnectionMark,
 }
 
-impl MarkedParts {
-    /// Marks `body`.
+impl TrackedBody {
     pub(super) fn new(body: AnswerBody, mark: ConnectionMark) -> Self {
-        MarkedParts { body, mark }
+        TrackedBody { body, mark }
     }
 }
 
-impl Body for MarkedParts {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = StreamBroken;
 
@@ -92,7 +91,7 @@
     }
 }
 
-impl Drop for MarkedParts {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
         self.mark.end_request();
     }
--- a/crates/beechsaddle/src/gateway/attempt_guard.rs
+++ b/crates/beechsaddle/src/gateway/attempt_guard.rs
@@ -1,4 +1,4 @@
-//! The `attempt_guard` module provides the load of one attempt on its target.
+//! The `attempt_guard` module provides the accounting of one attempt in its target's statistics.
 
 use std::rc::Rc;
 
@@ -8,34 +8,35 @@
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::report::LogLevel;
 
-use super::crashes::{SuspectRun, look_for_crash};
+use super::crashes::{SuspectRun, detect_crash};
 use super::gateway_metrics::WordLabel;
 use super::gateway_state::GatewayState;
 
-/// Prompt tokens that an engine reads in a millisecond, to tell reading from waiting.
-const READ_TOKENS_PER_MS: u64 = 50;
+/// Prompt tokens that an engine processes per millisecond; separates prefill time from queueing.
+const PREFILL_TOKENS_PER_MS: u64 = 50;
 
-/// How long nothing must have come from a target for any call before a silent one takes it out of
-/// use, in milliseconds. A short answer that takes long is given up early, and one in a hundred does;
-/// ejecting its target for that took a third of a service of three away, several times a second.
-const DEAD_MS: u64 = 400;
+/// A silent attempt ejects its target only if the target sent nothing for any call for this long,
+/// in milliseconds. A slow short response is abandoned early, which happens to one in a hundred;
+/// ejecting the target for that removed a third of a service of three targets several times a
+/// second.
+const EJECT_SILENCE_MS: u64 = 400;
 
-/// One attempt as its target's gauge counts it. Dropping it takes the attempt off the target.
+/// One attempt as counted in its target's statistics. Dropping it removes the attempt from them.
 pub(super) struct AttemptGuard {
     state: Rc<GatewayState>,
     target: TargetRecord,
     load: AttemptLoad,
     fingerprint: RequestFingerprint,
-    /// Crashes that the request may have caused some time before.
+    /// Crashes already attributed to the request, excluding those seen just before this attempt.
     known_before: usize,
-    /// Whether the request may have caused any.
+    /// Whether the request is suspected of any crash.
     is_suspect: bool,
     started_at: ClockTime,
-    has_first: bool,
+    has_first_event: bool,
 }
 
 impl AttemptGuard {
-    /// Puts an attempt on a target.
+    /// Counts a new attempt on `target`.
     pub(super) fn start(
         state: &Rc<GatewayState>,
         target: TargetRecord,
@@ -50,40 +51,39 @@
             started_at: state.now(),
             target,
             load,
-            has_first: false,
+            has_first_event: false,
         };
-        guard.change(|stats, _| {
+        guard.update_stats(|stats, _| {
             stats.start(load);
             stats.suspects += u64::from(guard.is_suspect);
         });
         guard
     }
 
-    /// The target.
     pub(super) fn target(&self) -> &TargetRecord {
         &self.target
     }
 
-    /// The first event or the whole answer has come.
-    pub(super) fn record_first(&mut self) {
-        if self.has_first {
+    /// Records that the first event or the complete response arrived.
+    pub(super) fn record_first_event(&mut self) {
+        if self.has_first_event {
             return;
         }
-        self.has_first = true;
+        self.has_first_event = true;
         let (load, started_at) = (self.load, self.started_at);
-        let reading_ms = load.prefill_tokens / READ_TOKENS_PER_MS;
-        self.change(|stats, now| {
-            let waited_ms = now.since(started_at).saturating_sub(reading_ms);
+        let prefill_ms = load.prefill_tokens / PREFILL_TOKENS_PER_MS;
+        self.update_stats(|stats, now| {
+            let waited_ms = now.since(started_at).saturating_sub(prefill_ms);
             stats.record_first(now, load, waited_ms.max(1));
         });
     }
 
-    /// Something came from the target.
-    pub(super) fn note_progress(&self) {
-        self.change(|stats, now| stats.progress_at = now);
+    /// Records that the target sent data.
+    pub(super) fn record_progress(&self) {
+        self.update_stats(|stats, now| stats.progress_at = now);
     }
 
-    /// How long nothing came from the target for any attempt, in milliseconds.
+    /// Returns the time since the target last sent anything for any attempt, in milliseconds.
     pub(super) fn silence_ms(&self) -> u64 {
         let now = self.state.now();
         let roster = self.state.roster.borrow();
@@ -93,26 +93,27 @@
         now.since(progress_at.max(self.started_at))
     }
 
-    /// The attempt brought a usable answer.
-    pub(super) fn note_success(&self) {
-        self.change(|stats, now| stats.record_outcome(now, false));
+    /// Records that the attempt produced a usable response.
+    pub(super) fn record_success(&self) {
+        self.update_stats(|stats, now| stats.record_outcome(now, false));
     }
 
-    /// The attempt brought no usable answer.
-    pub(super) fn note_end(&self, end: AttemptEnd) {
+    /// Records that the attempt ended without a usable response; ejects the target if it could not
+    /// be reached or sends nothing at all.
+    pub(super) fn record_failure(&self, end: AttemptEnd) {
         let label = WordLabel { what: end.as_str() };
         self.state.metrics.attempt_ends.get_or_create(&label).inc();
-        let is_dead = self.silence_ms() >= DEAD_MS;
+        let is_target_silent = self.silence_ms() >= EJECT_SILENCE_MS;
         let is_link_full = self.state.is_link_full();
         let mut is_ejected = false;
-        self.change(|stats, now| {
+        self.update_stats(|stats, now| {
             match end {
-                // A full target is no broken one.
+                // A target that declines work is not faulty.
                 AttemptEnd::NotRun => {}
                 AttemptEnd::Failed | AttemptEnd::Broken => stats.record_outcome(now, true),
-                AttemptEnd::Silent if !is_dead => stats.record_outcome(now, true),
-                // Behind a full link of its own a router reaches nobody in time; that says nothing of
-                // the target, and ejecting all of them would leave only bad choices.
+                AttemptEnd::Silent if !is_target_silent => stats.record_outcome(now, true),
+                // When this router's own link is saturated, connections fail everywhere. That says
+                // nothing about the target, and ejecting all targets would leave only bad choices.
                 AttemptEnd::Unsent if is_link_full => {}
                 AttemptEnd::Unsent | AttemptEnd::Silent => {
                     stats.record_outcome(now, true);
@@ -126,7 +127,7 @@
         }
     }
 
-    /// What may have crashed the target, where its connection breaks.
+    /// Returns the data needed to attribute a crash of the target to this request.
     pub(super) fn suspect_run(&self) -> SuspectRun {
         SuspectRun {
             fingerprint: self.fingerprint,
@@ -136,14 +137,14 @@
         }
     }
 
-    /// Finds out whether the target has crashed, where its connection broke.
-    pub(super) async fn look_for_crash(&self, end: AttemptEnd) {
-        look_for_crash(&self.state, self.suspect_run(), end).await;
+    /// Checks whether the target crashed after its connection broke.
+    pub(super) async fn detect_crash(&self, end: AttemptEnd) {
+        detect_crash(&self.state, self.suspect_run(), end).await;
     }
 
-    /// Takes a target out of use whose address another one has.
-    pub(super) fn note_misdirected(&self) {
-        self.change(|stats, now| stats.eject(now));
+    /// Ejects a target whose address now belongs to another target.
+    pub(super) fn record_misdirected(&self) {
+        self.update_stats(|stats, now| stats.eject(now));
         self.state.pool.forget(self.target.address);
     }
 
@@ -160,27 +161,27 @@
             .log(LogLevel::Warning, "target_ejected", fields);
     }
 
-    fn change(&self, change: impl FnOnce(&mut TargetStats, ClockTime)) {
+    fn update_stats(&self, update: impl FnOnce(&mut TargetStats, ClockTime)) {
         let now = self.state.now();
         let mut roster = self.state.roster.borrow_mut();
-        // A target that left while the attempt ran has no gauge any more, and one that started again
-        // has another, which this attempt was never counted in.
+        // A target that was removed during the attempt has no statistics any more, and a restarted
+        // one has new statistics that never counted this attempt.
         let is_same = roster
             .get(&self.target.name)
             .is_some_and(|entry| entry.record.started == self.target.started);
         if let Some(stats) = roster.stats_mut(&self.target.name).filter(|_| is_same) {
-            change(stats, now);
+            update(stats, now);
         }
     }
 }
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        let (load, has_first) = (self.load, self.has_first);
+        let (load, has_first_event) = (self.load, self.has_first_event);
         let is_suspect = self.is_suspect;
-        self.change(|stats, _| {
+        self.update_stats(|stats, _| {
             stats.suspects = stats.suspects.saturating_sub(u64::from(is_suspect));
-            if !has_first {
+            if !has_first_event {
                 stats.forget_pending(load);
             }
             stats.end();
--- a/crates/beechsaddle/src/gateway/call_context.rs
+++ b/crates/beechsaddle/src/gateway/call_context.rs
@@ -1,4 +1,5 @@
-//! The `call_context` module provides one call: what was asked, what is known of it, how it ended.
+//! The `call_context` module provides the state of one call: the request, the rules that apply to
+//! it and its attempts.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -20,71 +21,68 @@
 use super::gateway_state::GatewayState;
 use super::refusal::RefusalCause;
 
-/// Crashes of targets under a request after which it is sent again by its caller only.
-const CRASHES_BEFORE_CALLER: usize = 2;
+/// Number of target crashes attributed to a request after which the router no longer repeats it;
+/// only the caller may send it again.
+const CRASHES_BEFORE_WITHHOLDING: usize = 2;
 
-/// A call that was checked against the configuration.
+/// A call that passed the checks against the configuration.
 pub(super) struct CallContext {
-    /// What all parts share.
+    /// The shared gateway state.
     pub(super) state: Rc<GatewayState>,
-    /// What the caller said.
+    /// The parsed head of the request.
     pub(super) head: CallHead,
-    /// The method.
     pub(super) method: Method,
-    /// The path and query.
     pub(super) uri: Uri,
-    /// The caller's headers.
     pub(super) headers: HeaderMap,
-    /// The whole body.
+    /// The complete request body.
     pub(super) body: Bytes,
-    /// Which request it is, whatever the id of this attempt.
+    /// Identifies the request independently of the id of this attempt.
     pub(super) fingerprint: RequestFingerprint,
-    /// Its route.
     pub(super) route: Arc<RouteRule>,
-    /// Its service.
     pub(super) service: ServiceName,
-    /// What is declared of the service.
+    /// The service's declaration in the configuration.
     pub(super) rule: ServiceRule,
-    /// The workspace of its key.
+    /// The workspace that the caller's key belongs to; `None` on open routes and without
+    /// workspaces.
     pub(super) workspace: Option<Arc<WorkspaceRule>>,
-    /// When the final answer is due: the caller's deadline or the route's timeout.
+    /// When the final response is due: the caller's deadline or the route's timeout, whichever is
+    /// earlier.
     pub(super) ends_at: ClockTime,
-    /// Attempts so far.
     pub(super) history: RefCell<AttemptHistory>,
-    /// Targets that were tried.
     pub(super) tried: RefCell<Vec<TargetName>>,
-    /// Held while the call is the one try of a request that may crash targets.
+    /// Held while this call is the only trial of a request suspected of crashing targets.
     pub(super) trial: RefCell<Option<TrialGuard>>,
-    /// Its log lines.
+    /// The call's log lines and metrics.
     pub(super) record: CallRecord,
 }
 
 impl CallContext {
-    /// How long is left, in milliseconds.
-    pub(super) fn left_ms(&self) -> u64 {
+    /// Returns the time left until the deadline, in milliseconds.
+    pub(super) fn remaining_ms(&self) -> u64 {
         self.ends_at.since(self.state.now())
     }
 
-    /// How long is left.
-    pub(super) fn left(&self) -> Duration {
-        Duration::from_millis(self.left_ms())
+    /// Returns the time left until the deadline.
+    pub(super) fn remaining(&self) -> Duration {
+        Duration::from_millis(self.remaining_ms())
     }
 
-    /// The rank of the call at an engine: the workspace's, else the route's.
+    /// Returns the call's priority at an engine: the workspace's if it sets one, else the route's.
     pub(super) fn priority(&self) -> u8 {
         let own = self.workspace.as_ref().and_then(|rule| rule.priority);
         own.unwrap_or(self.route.priority)
     }
 
-    /// What of a workspace's total the call may use; `None` where nothing is counted.
+    /// Returns the workspace and the tokens to reserve; `None` if the call's tokens are not
+    /// counted.
     pub(super) fn reservation_bound(&self) -> Option<(&WorkspaceName, TokenBound)> {
         let workspace = self.workspace.as_ref()?;
         let bound = self.head.bound?;
         workspace.prepaid.map(|_| (&workspace.name, bound))
     }
 
-    /// Notes an attempt without a usable answer.
-    pub(super) fn note_end(&self, target: &TargetRecord, end: AttemptEnd, detail: &str) {
+    /// Records an attempt that ended without a usable response.
+    pub(super) fn record_attempt_end(&self, target: &TargetRecord, end: AttemptEnd, detail: &str) {
         self.history.borrow_mut().note(end);
         self.tried.borrow_mut().push(target.name.clone());
         let fields = [
@@ -92,25 +90,26 @@
             ("end", end.as_str().to_owned()),
             ("detail", detail.to_owned()),
         ];
-        self.record.decide("attempt_ended", fields);
+        self.record.log_decision("attempt_ended", fields);
     }
 
-    /// Whether the call is sent once more after an attempt that ended so. Counts it if so.
+    /// Returns whether the call may be retried after an attempt that ended with `end`, and charges
+    /// the retry budget if so.
     pub(super) fn try_repeat(&self, end: AttemptEnd) -> bool {
         let attempts_max = self.route.attempts_max;
         let allows = self
             .history
             .borrow()
             .allows_another(self.route.kind, attempts_max);
-        if !allows || self.left_ms() == 0 {
+        if !allows || self.remaining_ms() == 0 {
             return false;
         }
-        if self.is_kept_back(end) {
+        if self.is_withheld(end) {
             let fields = [("after", end.as_str().to_owned())];
-            self.record.decide("repeat_withheld", fields);
+            self.record.log_decision("repeat_withheld", fields);
             return false;
         }
-        // An attempt that reached nobody is no arrival, and the next one is the first.
+        // An attempt that reached no target is not an arrival, so the next one counts as the first.
         let state = &self.state;
         let is_first = self.history.borrow().sent() == 0;
         let fits = is_first
@@ -120,9 +119,9 @@
                 .try_repeat(state.now(), &self.service);
         if !fits {
             state.metrics.repeats_denied.inc();
-            self.record.note("retry_budget", "empty");
+            self.record.add_field("retry_budget", "empty");
             let fields = [("after", end.as_str().to_owned())];
-            self.record.decide("repeat_denied", fields);
+            self.record.log_decision("repeat_denied", fields);
             return false;
         }
         let label = WordLabel { what: end.as_str() };
@@ -130,27 +129,27 @@
         let fields = [
             ("after", end.as_str().to_owned()),
             ("sent", self.history.borrow().sent().to_string()),
-            ("left_ms", self.left_ms().to_string()),
+            ("left_ms", self.remaining_ms().to_string()),
         ];
-        self.record.decide("call_repeated", fields);
+        self.record.log_decision("call_repeated", fields);
         true
     }
 
-    /// Whether another attempt may crash one more target, as one too many has crashed already.
+    /// Returns whether a retry is withheld because the request is suspected of crashing targets.
     ///
-    /// After one crash most requests that ran on the target had no part in it, and are sent on. A request under
-    /// which two have crashed comes again as a caller's new attempt or not at all.
-    fn is_kept_back(&self, end: AttemptEnd) -> bool {
+    /// After one crash, most requests that ran on the target are innocent and are retried. A
+    /// request with two or more crashes is sent again only by its caller.
+    fn is_withheld(&self, end: AttemptEnd) -> bool {
         let crashes = &self.state.crashes;
-        let has_crashed_again =
-            end.may_have_run() && crashes.crash_count(self.fingerprint) >= CRASHES_BEFORE_CALLER;
+        let has_crashed_again = end.may_have_run()
+            && crashes.crash_count(self.fingerprint) >= CRASHES_BEFORE_WITHHOLDING;
         has_crashed_again || crashes.is_blocked(self.state.now(), self.fingerprint)
     }
 
-    /// Why the call ends without a target's answer.
+    /// Returns the cause to report when no target answered; `last` is the end of the last attempt.
     pub(super) fn final_cause(&self, last: AttemptEnd) -> RefusalCause {
         if self.history.borrow().may_have_run() {
-            return match self.left_ms() {
+            return match self.remaining_ms() {
                 0 => RefusalCause::TimedOut,
                 _ => RefusalCause::OutcomeUnknown,
             };
--- a/crates/beechsaddle/src/gateway/call_exchange.rs
+++ b/crates/beechsaddle/src/gateway/call_exchange.rs
@@ -1,4 +1,5 @@
-//! The `call_exchange` module provides the life of one call, from its head to its final answer.
+//! The `call_exchange` module provides the handling of one call, from its head to its final
+//! response.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -29,32 +30,31 @@
 use super::stream_exchange::serve_stream;
 use super::token_reservation::TokenReservation;
 
-/// How long a body may take, in milliseconds, where the caller's deadline leaves more.
-const BODY_MS: u64 = 10_000;
+/// Maximum time to read a request body, in milliseconds, if the caller's deadline allows more.
+const BODY_TIMEOUT_MS: u64 = 10_000;
 
-/// A call that the router answers by itself.
-struct CallRefused {
+/// A refusal that the router itself answers with.
+struct CallRefusal {
     cause: RefusalCause,
     message: String,
 }
 
-impl CallRefused {
+impl CallRefusal {
     fn new(cause: RefusalCause, message: impl Into<String>) -> Self {
-        CallRefused {
+        CallRefusal {
             cause,
             message: message.into(),
         }
     }
 }
 
-/// What the configuration says of a call.
-struct CallPlace {
+/// The configuration that applies to a call.
+struct CallRules {
     config: Rc<GatewayConfig>,
     route: Arc<RouteRule>,
     workspace: Option<Arc<WorkspaceRule>>,
 }
 
-/// Serves one call.
 pub(super) async fn serve_call(
     state: Rc<GatewayState>,
     request: Request<Incoming>,
@@ -62,12 +62,12 @@
     let record = CallRecord::start(&state);
     let (parts, body) = request.into_parts();
     let checked = check_head(&state, &parts, &record);
-    let admitted = checked.and_then(|found| refuse_behind_link(&state).map(|()| found));
+    let admitted = checked.and_then(|found| refuse_behind_full_link(&state).map(|()| found));
     let mut response = match admitted {
-        Ok((head, place)) => serve_checked(&state, parts, body, head, place, record).await,
-        Err(refused) => refuse(&record, &refused),
+        Ok((head, rules)) => serve_checked(&state, parts, body, head, rules, record).await,
+        Err(refusal) => refuse(&record, &refusal),
     };
-    // Callers go elsewhere with their next request, before the connection is closed.
+    // Makes callers send their next request elsewhere before this connection is closed.
     if state.phase() >= GatewayPhase::Leaving || state.has_left_rotation() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
@@ -80,12 +80,12 @@
     parts: Parts,
     body: Incoming,
     head: CallHead,
-    place: CallPlace,
+    rules: CallRules,
     record: CallRecord,
 ) -> Response<AnswerBody> {
-    match read_call(state, parts, body, head, place, record).await {
+    match read_call(state, parts, body, head, rules, record).await {
         Ok(call) => serve_read(Rc::new(call)).await,
-        Err((record, refused)) => refuse(&record, &refused),
+        Err((record, refusal)) => refuse(&record, &refusal),
     }
 }
 
@@ -101,18 +101,19 @@
     let reservation = match reserve(&call).await {
         Ok(reservation) => reservation,
         Err(cause) => {
-            call.record.refuse(cause);
+            call.record.record_refusal(cause);
             return cause.response("the workspace's tokens do not cover the request now");
         }
     };
-    if call.left_ms() == 0 {
-        call.record.refuse(RefusalCause::TooLate);
+    if call.remaining_ms() == 0 {
+        call.record.record_refusal(RefusalCause::TooLate);
         return RefusalCause::TooLate.response("the deadline is over");
     }
     match call.route.kind.is_stream() {
         true => serve_stream(call, reservation).await,
         false => {
-            // A plain answer does not tell its tokens: the call counts as the most it may use.
+            // A plain response does not report its tokens, so the call is charged the most it may
+            // use.
             if let Some(reservation) = &reservation {
                 reservation.note_delivered(u64::MAX);
             }
@@ -128,7 +129,7 @@
     }
 }
 
-/// Refuses a request that crashes targets, before any token is set aside for it.
+/// Refuses a request that crashes targets, before any tokens are reserved for it.
 fn refuse_crashing(call: &CallContext) -> Option<Response<AnswerBody>> {
     match admit_request(&call.state, call.fingerprint) {
         CrashAdmission::Admitted(trial) => {
@@ -141,9 +142,9 @@
                 ("targets", targets),
                 ("retry_ms", retry_ms.to_string()),
             ];
-            call.record.decide("call_blocked", fields);
+            call.record.log_decision("call_blocked", fields);
             let cause = RefusalCause::CrashesTargets;
-            call.record.refuse(cause);
+            call.record.record_refusal(cause);
             Some(cause.response_after(retry_ms, "targets crash when they run this request"))
         }
     }
@@ -160,18 +161,19 @@
         .metrics
         .reserve_s
         .observe(waited_ms as f64 / 1_000.0);
-    call.record.note("tokens", bound.total());
-    call.record.note("reserve_ms", waited_ms);
+    call.record.add_field("tokens", bound.total());
+    call.record.add_field("reserve_ms", waited_ms);
     log_reservation(call, workspace, bound.total(), reservation.as_ref().err());
     reservation.map(Some)
 }
 
-/// Logs whether a call got its tokens, with what was known of the total and how old that was.
+/// Logs the outcome of a reservation, with the known state of the workspace's total and the age of
+/// the ledger copy.
 fn log_reservation(
     call: &CallContext,
     workspace: &WorkspaceName,
     tokens: u64,
-    refused: Option<&RefusalCause>,
+    refusal: Option<&RefusalCause>,
 ) {
     let facts = call
         .state
@@ -183,7 +185,7 @@
         ("tokens", tokens.to_string()),
         (
             "outcome",
-            refused
+            refusal
                 .map_or("reserved", |cause| cause.as_str())
                 .to_owned(),
         ),
@@ -195,13 +197,14 @@
         let age_ms = facts.ledger_age_ms;
         fields.extend(age_ms.map(|age_ms| ("ledger_age_ms", age_ms.to_string())));
     }
-    call.record.decide("tokens_reserved", fields);
+    call.record.log_decision("tokens_reserved", fields);
 }
 
-/// Turns a call away that this router would serve late, at a target that may have left: others serve it at once.
-fn refuse_behind_link(state: &GatewayState) -> Result<(), CallRefused> {
+/// Refuses calls while changes of targets arrive late over this router's saturated link: the call
+/// would be late and might go to a target that has left, while other routers can serve it at once.
+fn refuse_behind_full_link(state: &GatewayState) -> Result<(), CallRefusal> {
     match state.is_behind_full_link() {
-        true => Err(CallRefused::new(
+        true => Err(CallRefusal::new(
             RefusalCause::LinkFull,
             "this router's link is full",
         )),
@@ -213,48 +216,48 @@
     state: &GatewayState,
     parts: &Parts,
     record: &CallRecord,
-) -> Result<(CallHead, CallPlace), CallRefused> {
+) -> Result<(CallHead, CallRules), CallRefusal> {
     let Some(config) = state.config() else {
-        return Err(CallRefused::new(
+        return Err(CallRefusal::new(
             RefusalCause::NoConfig,
             "no configuration is known yet",
         ));
     };
     let head = CallHead::try_read(parts)
-        .map_err(|fault| CallRefused::new(RefusalCause::BadHead, fault.to_string()))?;
+        .map_err(|fault| CallRefusal::new(RefusalCause::BadHead, fault.to_string()))?;
     record.set_id(&head.request_id);
-    record.note("config", config.version);
+    record.add_field("config", config.version);
     let RouteMatch::Found(route) = config.find_route(&head.host, &head.path) else {
-        return Err(CallRefused::new(
+        return Err(CallRefusal::new(
             RefusalCause::UnknownRoute,
             "no route takes this host and path",
         ));
     };
-    record.note("route", &route.name);
+    record.add_field("route", &route.name);
     let workspace = find_workspace(&config, &route, &head)?;
     if let Some(rule) = &workspace {
-        record.note("workspace", &rule.name);
+        record.add_field("workspace", &rule.name);
     }
-    let place = CallPlace {
+    let rules = CallRules {
         config,
         route,
         workspace,
     };
-    Ok((head, place))
+    Ok((head, rules))
 }
 
 fn find_workspace(
     config: &GatewayConfig,
     route: &RouteRule,
     head: &CallHead,
-) -> Result<Option<Arc<WorkspaceRule>>, CallRefused> {
+) -> Result<Option<Arc<WorkspaceRule>>, CallRefusal> {
     if !config.has_workspaces || route.is_open {
         return Ok(None);
     }
     let found = head.key.as_ref().and_then(|key| config.find_key(key));
     match found {
         Some(rule) => Ok(Some(Arc::clone(rule))),
-        None => Err(CallRefused::new(
+        None => Err(CallRefusal::new(
             RefusalCause::UnknownKey,
             "no workspace has this key",
         )),
@@ -266,43 +269,43 @@
     parts: Parts,
     body: Incoming,
     head: CallHead,
-    place: CallPlace,
+    rules: CallRules,
     record: CallRecord,
-) -> Result<CallContext, (CallRecord, CallRefused)> {
+) -> Result<CallContext, (CallRecord, CallRefusal)> {
     let arrived_at = record.arrived_at();
-    let body_max = place.config.limits.body_bytes;
-    let span_ms = head.deadline_ms.unwrap_or(u64::MAX);
-    let span_ms = span_ms.min(place.route.timeout_ms);
-    let body = match read_body(body, body_max, span_ms.min(BODY_MS)).await {
+    let body_max = rules.config.limits.body_bytes;
+    let timeout_ms = head.deadline_ms.unwrap_or(u64::MAX);
+    let timeout_ms = timeout_ms.min(rules.route.timeout_ms);
+    let body = match read_body(body, body_max, timeout_ms.min(BODY_TIMEOUT_MS)).await {
         Ok(body) => body,
-        Err(refused) => return Err((record, refused)),
+        Err(refusal) => return Err((record, refusal)),
     };
     state.record_message(LinkDirection::In, &body);
-    let Some(service) = place.route.service_for(&head.request_id).cloned() else {
-        let refused = CallRefused::new(RefusalCause::NoTarget, "the route has no service");
-        return Err((record, refused));
+    let Some(service) = rules.route.service_for(&head.request_id).cloned() else {
+        let refusal = CallRefusal::new(RefusalCause::NoTarget, "the route has no service");
+        return Err((record, refusal));
     };
-    record.note("service", &service);
+    record.add_field("service", &service);
     let path = parts.uri.path_and_query().map_or("", |path| path.as_str());
-    let workspace = place.workspace.as_ref();
+    let workspace = rules.workspace.as_ref();
     let caller = workspace.map_or("", |rule| rule.name.as_str());
     let fingerprint = RequestFingerprint::new(path, caller, &body);
-    record.decide(
+    record.log_decision(
         "call_admitted",
         [
-            ("config", place.config.version.to_string()),
-            ("route", place.route.name.to_string()),
+            ("config", rules.config.version.to_string()),
+            ("route", rules.route.name.to_string()),
             ("service", service.to_string()),
             ("body_bytes", body.len().to_string()),
             ("fingerprint", fingerprint.to_string()),
-            ("span_ms", span_ms.to_string()),
+            ("span_ms", timeout_ms.to_string()),
         ],
     );
     let plain = ServiceRule {
         is_engine: false,
         event_tokens: 1,
     };
-    let rule = place.config.services.get(&service).cloned();
+    let rule = rules.config.services.get(&service).cloned();
     Ok(CallContext {
         state: Rc::clone(state),
         head,
@@ -311,11 +314,11 @@
         headers: parts.headers,
         body,
         fingerprint,
-        route: place.route,
+        route: rules.route,
         service,
         rule: rule.unwrap_or(plain),
-        workspace: place.workspace,
-        ends_at: arrived_at.plus_ms(span_ms),
+        workspace: rules.workspace,
+        ends_at: arrived_at.plus_ms(timeout_ms),
         history: RefCell::new(AttemptHistory::default()),
         tried: RefCell::new(Vec::new()),
         trial: RefCell::default(),
@@ -323,27 +326,27 @@
     })
 }
 
-async fn read_body(body: Incoming, body_max: usize, span_ms: u64) -> Result<Bytes, CallRefused> {
+async fn read_body(body: Incoming, body_max: usize, timeout_ms: u64) -> Result<Bytes, CallRefusal> {
     let reading = Limited::new(body, body_max).collect();
-    match timeout(Duration::from_millis(span_ms), reading).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(CallRefused::new(
+    match timeout(Duration::from_millis(timeout_ms), reading).await {
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(CallRefusal::new(
             RefusalCause::BodyTooLarge,
             format!("at most {body_max} bytes are taken"),
         )),
-        Ok(Err(error)) => Err(CallRefused::new(
+        Ok(Err(error)) => Err(CallRefusal::new(
             RefusalCause::BadHead,
             format!("the body cannot be read: {error}"),
         )),
-        Err(_) => Err(CallRefused::new(
+        Err(_) => Err(CallRefusal::new(
             RefusalCause::BodyTimeout,
             "the body did not come in time",
         )),
     }
 }
 
-fn refuse(record: &CallRecord, refused: &CallRefused) -> Response<AnswerBody> {
-    record.note("why", &refused.message);
-    record.refuse(refused.cause);
-    refused.cause.response(&refused.message)
+fn refuse(record: &CallRecord, refusal: &CallRefusal) -> Response<AnswerBody> {
+    record.add_field("why", &refusal.message);
+    record.record_refusal(refusal.cause);
+    refusal.cause.response(&refusal.message)
 }
--- a/crates/beechsaddle/src/gateway/news/news_intake.rs
+++ b/crates/beechsaddle/src/gateway/changes/change_apply.rs
@@ -1,4 +1,4 @@
-//! The `news_intake` module provides the taking over of what changes: configurations and targets.
+//! The `change_apply` module provides the application of changed configurations and targets.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,27 +12,27 @@
 };
 use tokio::time::sleep;
 
-use super::store_follow::duty_name;
+use super::store_follow::kind_name;
 use crate::gateway::gateway_state::GatewayState;
 use crate::gateway::token_lending::update_roles;
 
-/// How often targets that stayed unlisted are looked at.
-const EXPIRY_SPAN: Duration = Duration::from_millis(250);
+/// Interval between checks for targets that stayed unlisted.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 
-pub(super) fn take_news(state: &GatewayState, kind: ObjectKind, news: &StoreNews) {
-    for event in &news.events {
-        take_event(state, kind, event);
+pub(super) fn apply_changes(state: &GatewayState, kind: ObjectKind, changes: &StoreNews) {
+    for event in &changes.events {
+        apply_event(state, kind, event);
     }
-    drop_unreadable(state, kind, &news.unreadable);
+    drop_unreadable(state, kind, &changes.unreadable);
 }
 
-pub(super) fn take_listing(state: &GatewayState, kind: ObjectKind, listing: &StoreListing) {
+pub(super) fn apply_listing(state: &GatewayState, kind: ObjectKind, listing: &StoreListing) {
     drop_unreadable(state, kind, &listing.unreadable);
     match kind {
         ObjectKind::Config => listing
             .objects
             .iter()
-            .for_each(|object| take_config(state, object)),
+            .for_each(|object| apply_config(state, object)),
         ObjectKind::Targets => {
             let records: Vec<_> = listing
                 .objects
@@ -46,9 +46,9 @@
     }
 }
 
-fn take_event(state: &GatewayState, kind: ObjectKind, event: &StoreEvent) {
+fn apply_event(state: &GatewayState, kind: ObjectKind, event: &StoreEvent) {
     match (kind, event.is_removed) {
-        (ObjectKind::Config, false) => take_config(state, &event.object),
+        (ObjectKind::Config, false) => apply_config(state, &event.object),
         (ObjectKind::Targets, true) => {
             let name = TargetName::new(event.object.name());
             let change = state.roster.borrow_mut().remove(state.now(), &name);
@@ -60,13 +60,13 @@
                 state.log_roster(change);
             }
         }
-        // A configuration that was removed stays in force: there is nothing newer.
+        // A removed configuration stays in force, as there is nothing newer.
         (ObjectKind::Config, true)
         | (ObjectKind::Routers | ObjectKind::Budgets | ObjectKind::Crashes, _) => {}
     }
 }
 
-/// Reads an entry; one that cannot be read names no target from now on.
+/// Reads a target entry; withdraws the target if its entry cannot be read.
 fn read_entry(state: &GatewayState, object: &StoreObject) -> Option<TargetRecord> {
     match read_target(object) {
         Ok(record) => Some(record),
@@ -77,7 +77,7 @@
     }
 }
 
-/// Logs objects that are not even objects, and takes targets of their names out of use.
+/// Logs malformed objects, and withdraws the targets of their names.
 fn drop_unreadable(state: &GatewayState, kind: ObjectKind, objects: &[UnreadableObject]) {
     for object in objects {
         match kind {
@@ -87,7 +87,7 @@
             | ObjectKind::Budgets
             | ObjectKind::Crashes => {
                 let fields = [
-                    ("duty", duty_name(kind).to_owned()),
+                    ("duty", kind_name(kind).to_owned()),
                     ("name", object.name.clone()),
                     ("error", object.error.clone()),
                 ];
@@ -106,9 +106,9 @@
     state.log_roster(change);
 }
 
-/// Takes over a configuration if it is newer than the one in force. An older one, as a late answer
-/// may bring it, would undo what callers have seen.
-fn take_config(state: &GatewayState, object: &StoreObject) {
+/// Applies a configuration if it is newer than the current one. An older one, which a late answer
+/// may carry, would undo what callers have already seen.
+fn apply_config(state: &GatewayState, object: &StoreObject) {
     if object.name() != CONFIG_NAME {
         return;
     }
@@ -149,10 +149,11 @@
     state.escrow_changed.notify_waiters();
 }
 
-/// Drops targets that stayed unlisted after the store came back, and idle connections.
+/// Periodically removes targets that stayed unlisted after the store recovered, expired idle
+/// connections and expired crash reports.
 pub(in crate::gateway) async fn run_expiry(state: Rc<GatewayState>) {
     loop {
-        sleep(EXPIRY_SPAN).await;
+        sleep(EXPIRY_INTERVAL).await;
         let now = state.now();
         let changes = state.roster.borrow_mut().expire(now);
         state.log_roster(changes);
--- a/crates/beechsaddle/src/gateway/news/news_relay.rs
+++ b/crates/beechsaddle/src/gateway/changes/change_relay.rs
@@ -1,5 +1,5 @@
-//! The `news_relay` module provides the latest changes that this router knows, for itself and for those that
-//! follow it.
+//! The `change_relay` module provides the latest changes known to this router, for itself and for
+//! the routers that follow it.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,28 +8,28 @@
 use beechsaddle_platform::{ObjectKind, StoreListing, StoreNews};
 use tokio::sync::Notify;
 
-/// What is known of one kind of objects.
+/// The known changes of one kind of objects.
 #[derive(Debug, Default)]
-struct KindNews {
+struct KindHistory {
     log: ChangeLog,
-    /// The revision of each object, to tell what a listing changes.
+    /// The revision of each object, to find what a listing changes.
     revisions: BTreeMap<String, u64>,
 }
 
-/// The changes that this router knows, and whom it follows.
+/// The known changes, and the choice of the router to follow.
 #[derive(Debug, Default)]
-pub(in crate::gateway) struct NewsRelay {
-    /// Whom this router follows.
+pub(in crate::gateway) struct ChangeRelay {
+    /// The choice of the store or a router to follow.
     pub(in crate::gateway) choice: RefCell<SourceSelector>,
-    /// Wakes those that follow this router.
+    /// Wakes requests of routers that follow this one.
     pub(in crate::gateway) changed: Notify,
-    kinds: RefCell<BTreeMap<ObjectKind, KindNews>>,
-    /// Kinds that this router watches in the store now.
+    kinds: RefCell<BTreeMap<ObjectKind, KindHistory>>,
+    /// Kinds that this router currently watches in the store.
     watched: RefCell<BTreeSet<ObjectKind>>,
 }
 
-impl NewsRelay {
-    /// Takes over the first listing of a kind.
+impl ChangeRelay {
+    /// Records the first listing of a kind.
     pub(in crate::gateway) fn begin(&self, kind: ObjectKind, listing: &StoreListing) {
         let mut kinds = self.kinds.borrow_mut();
         let known = kinds.entry(kind).or_default();
@@ -37,36 +37,37 @@
         known.revisions = listing.revisions();
     }
 
-    /// Takes over a later listing: what it changes is passed on.
+    /// Records a later listing; its differences are relayed.
     ///
     /// # Errors
     ///
-    /// When the changes cannot be encoded; those that follow then ask the store.
-    pub(in crate::gateway) fn try_note_listing(
+    /// Returns an error if the changes cannot be encoded; routers that follow this one then ask the
+    /// store.
+    pub(in crate::gateway) fn try_record_listing(
         &self,
         kind: ObjectKind,
         listing: &StoreListing,
     ) -> Result<(), serde_json::Error> {
         let mut kinds = self.kinds.borrow_mut();
         let known = kinds.entry(kind).or_default();
-        let news = listing.changes_since(&known.revisions);
+        let changes = listing.changes_since(&known.revisions);
         known.revisions = listing.revisions();
-        self.add(known, &news)
+        self.add(known, &changes)
     }
 
-    /// Takes over changes that are passed on.
+    /// Records changes to be relayed.
     ///
     /// # Errors
     ///
-    /// When they cannot be encoded; those that follow then ask the store.
-    pub(in crate::gateway) fn try_note_news(
+    /// Returns an error if they cannot be encoded; routers that follow this one then ask the store.
+    pub(in crate::gateway) fn try_record_changes(
         &self,
         kind: ObjectKind,
-        news: &StoreNews,
+        changes: &StoreNews,
     ) -> Result<(), serde_json::Error> {
         let mut kinds = self.kinds.borrow_mut();
         let known = kinds.entry(kind).or_default();
-        for event in &news.events {
+        for event in &changes.events {
             let object = &event.object;
             match event.is_removed {
                 true => known.revisions.remove(object.name()),
@@ -75,19 +76,19 @@
                     .insert(object.name().to_owned(), object.revision()),
             };
         }
-        self.add(known, news)
+        self.add(known, changes)
     }
 
-    fn add(&self, known: &mut KindNews, news: &StoreNews) -> Result<(), serde_json::Error> {
-        if news.events.is_empty() && news.unreadable.is_empty() {
-            known.log.record_unchanged(news.revision);
+    fn add(&self, known: &mut KindHistory, changes: &StoreNews) -> Result<(), serde_json::Error> {
+        if changes.events.is_empty() && changes.unreadable.is_empty() {
+            known.log.record_unchanged(changes.revision);
             return Ok(());
         }
-        match news.try_encode() {
-            Ok(body) => known.log.add(news.revision, body),
+        match changes.try_encode() {
+            Ok(body) => known.log.add(changes.revision, body),
             // A log with a gap would hide changes.
             Err(error) => {
-                known.log.restart(news.revision);
+                known.log.restart(changes.revision);
                 return Err(error);
             }
         }
@@ -95,11 +96,11 @@
         Ok(())
     }
 
-    /// Notes whether this router watches a kind in the store from now on.
+    /// Sets whether this router watches a kind in the store.
     ///
-    /// That the store answers does not tell whether something has changed: only a router that watches a kind may say
-    /// that nothing has.
-    pub(in crate::gateway) fn note_watched(&self, kind: ObjectKind, is_watched: bool) {
+    /// An answer of the store does not show whether anything changed: only a router that watches a
+    /// kind may report that nothing did.
+    pub(in crate::gateway) fn set_watched(&self, kind: ObjectKind, is_watched: bool) {
         let mut watched = self.watched.borrow_mut();
         match is_watched {
             true => watched.insert(kind),
@@ -108,12 +109,12 @@
         self.changed.notify_waiters();
     }
 
-    /// Whether this router watches a kind in the store.
+    /// Returns whether this router watches a kind in the store.
     pub(in crate::gateway) fn is_watched(&self, kind: ObjectKind) -> bool {
         self.watched.borrow().contains(&kind)
     }
 
-    /// What is known of a kind after a revision.
+    /// Returns the changes of a kind after a revision.
     pub(in crate::gateway) fn since(&self, kind: ObjectKind, revision: u64) -> ChangeReply {
         let kinds = self.kinds.borrow();
         kinds
@@ -121,7 +122,7 @@
             .map_or(ChangeReply::Gone, |known| known.log.since(revision))
     }
 
-    /// The newest revision of a kind that is known; 0 before the first.
+    /// Returns the newest known revision of a kind; 0 before the first listing.
     pub(in crate::gateway) fn revision(&self, kind: ObjectKind) -> u64 {
         let kinds = self.kinds.borrow();
         kinds.get(&kind).map_or(0, |known| known.log.revision())
--- a/crates/beechsaddle/src/gateway/news/follow_call.rs
+++ b/crates/beechsaddle/src/gateway/changes/follow_call.rs
@@ -1,4 +1,4 @@
-//! The `follow_call` module provides a question to a router that follows the store, and its answer.
+//! The `follow_call` module provides the request for changes to a router that follows the store.
 
 use std::time::Duration;
 
@@ -11,46 +11,45 @@
 use crate::gateway::gateway_state::GatewayState;
 use crate::gateway::token_lending::mark_down;
 
-/// How much longer than it may wait a follower may take to answer: a hundred times the way within a domain, and
-/// short against the bound on new configurations.
-const ANSWER_SPAN: Duration = Duration::from_millis(300);
+/// Time beyond the requested wait that a follower may take to answer: a hundred times the latency
+/// within a domain, and short against the limit for new configurations to take effect.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What a follower knows after a revision.
+/// A follower's reply to a request for changes after a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::gateway) enum FollowReply {
-    /// Changes, the oldest first; none if nothing changed.
+    /// Changes, oldest first; empty if nothing changed.
     News(Vec<ChangeBatch>),
-    /// Changes after that revision are not kept, or are too large to be passed on.
+    /// Changes after that revision are no longer held, or are too large to be relayed.
     Gone,
-    /// It cannot reach the store, or what it knows may be old.
+    /// The follower cannot reach the store, or its state may be stale.
     Away,
-    /// It follows another router, and follows the store from now on.
+    /// The router was following another one, and now starts to follow the store.
     Beginning,
 }
 
-/// What a follower answers.
+/// A follower's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::gateway) struct FollowAnswer {
-    /// What it knows.
     pub(in crate::gateway) reply: FollowReply,
-    /// The newest revision that it knows.
+    /// The newest revision known to the follower.
     pub(in crate::gateway) revision: u64,
-    /// How long ago the store last answered it, in milliseconds.
+    /// Time since the store last answered the follower, in milliseconds.
     pub(in crate::gateway) age_ms: u64,
 }
 
-/// What came of following a router for one step.
+/// The result of one step of following a router.
 #[derive(Debug)]
 pub(super) enum FollowStep {
-    /// Changes, the oldest first, and the revision that they lead to.
-    News(Vec<StoreNews>, u64),
-    /// The store has to be asked for the changes.
+    /// Changes, oldest first, and the revision that they lead to.
+    Changes(Vec<StoreNews>, u64),
+    /// The changes must be read from the store.
     Gone,
-    /// The router does not help now.
-    Doubted,
+    /// The router could not provide changes.
+    Failed,
 }
 
-/// Asks a follower what changed, and waits for it for a while.
+/// Asks a follower for changes, and waits for some time if there are none yet.
 pub(super) async fn follow_router(
     state: &GatewayState,
     peer: &PeerRecord,
@@ -60,11 +59,11 @@
     let wait = state.settings().relay_age / 2;
     let secret = state.lending.secret();
     let links = &state.lending.links;
-    let asked = links.follow_news(peer, &secret, kind, revision, wait);
-    let answer = match timeout(wait + ANSWER_SPAN, asked).await {
+    let reply = links.follow_news(peer, &secret, kind, revision, wait);
+    let answer = match timeout(wait + ANSWER_TIMEOUT, reply).await {
         Ok(Ok(answer)) => answer,
-        Ok(Err(error)) => return note_silent(state, peer, &error),
-        Err(_) => return note_silent(state, peer, "no changes in time"),
+        Ok(Err(error)) => return record_silence(state, peer, &error),
+        Err(_) => return record_silence(state, peer, "no answer to the follow request in time"),
     };
     match answer.reply {
         FollowReply::News(batches) => {
@@ -77,7 +76,7 @@
             FollowStep::Gone
         }
         FollowReply::Away => {
-            // This router may reach the store: it asks it next, and finds out.
+            // This router may still reach the store, which it asks next.
             state.store_health.record_outage(state.now());
             record_failure(state, peer, FollowFailure::Away)
         }
@@ -85,7 +84,7 @@
     }
 }
 
-/// Reads what a follower passed on. A batch that cannot be read hides changes: the store is asked for them.
+/// Decodes relayed changes. If a batch cannot be decoded, the changes are read from the store.
 fn read_batches(
     state: &GatewayState,
     peer: &PeerRecord,
@@ -96,7 +95,7 @@
         .iter()
         .map(|batch| StoreNews::try_decode(&batch.body));
     match read.collect::<Result<Vec<_>, _>>() {
-        Ok(news) => FollowStep::News(news, revision),
+        Ok(changes) => FollowStep::Changes(changes, revision),
         Err(error) => {
             let fields = [
                 ("peer", peer.host.to_string()),
@@ -109,16 +108,16 @@
     }
 }
 
-fn note_silent(state: &GatewayState, peer: &PeerRecord, error: &str) -> FollowStep {
+fn record_silence(state: &GatewayState, peer: &PeerRecord, error: &str) -> FollowStep {
     mark_down(state, peer, error);
     record_failure(state, peer, FollowFailure::Silent)
 }
 
-fn record_failure(state: &GatewayState, peer: &PeerRecord, doubt: FollowFailure) -> FollowStep {
-    count(state, doubt.as_str());
+fn record_failure(state: &GatewayState, peer: &PeerRecord, failure: FollowFailure) -> FollowStep {
+    count(state, failure.as_str());
     let mut choice = state.relay.choice.borrow_mut();
-    choice.record_failure(state.now(), &peer.host, doubt);
-    FollowStep::Doubted
+    choice.record_failure(state.now(), &peer.host, failure);
+    FollowStep::Failed
 }
 
 fn count(state: &GatewayState, what: &'static str) {
--- a/crates/beechsaddle/src/gateway/news/router_registry.rs
+++ b/crates/beechsaddle/src/gateway/changes/router_registry.rs
@@ -1,5 +1,5 @@
-//! The `router_registry` module provides the routers of the fleet, as they list themselves in the
-//! store.
+//! The `router_registry` module provides the registration of this router in the store and the list
+//! of the fleet's routers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,93 +18,95 @@
 use crate::gateway::store_call::StoreCall;
 use crate::gateway::token_lending::update_roles;
 
-/// How often the routers of the fleet are listed. A larger fleet is noticed before its part of the
+/// Interval between listings of the routers. A larger fleet is noticed before its share of the
 /// allowances is used up.
-const LIST_SPAN: Duration = Duration::from_secs(4);
+const LIST_INTERVAL: Duration = Duration::from_secs(4);
 
-/// When the routers are listed for the second time: those that started together are listed by then.
-const SETTLE_SPAN: Duration = Duration::from_millis(1_500);
+/// Delay before the second listing: routers that started together have registered by then.
+const SECOND_LIST_DELAY: Duration = Duration::from_millis(1_500);
 
-/// How long to wait after a failure at least, in milliseconds.
-const LEAST_PAUSE_MS: u64 = 60;
+/// Minimum delay after a failure, in milliseconds.
+const MIN_BACKOFF_MS: u64 = 60;
 
-/// The object with the secret that routers share.
+/// The name of the object that holds the routers' shared secret.
 pub(in crate::gateway) const SECRET_NAME: &str = "peer-secret";
 
-/// Over how long the routers of a fleet that starts spread their tries to make the secret, in milliseconds: long
-/// against a call to the store, and over before the second listing of routers.
+/// Time over which the routers of a starting fleet spread their attempts to create the secret, in
+/// milliseconds: long against a call to the store, and shorter than the delay of the second
+/// listing.
 const SECRET_SPREAD_MS: u64 = 400;
 
-/// The length of the secret, in bytes of chance.
+/// Length of the secret, in random bytes.
 const SECRET_BYTES: usize = 24;
 
-/// What a router writes of itself.
+/// A router's own entry in the store.
 #[derive(Debug, Deserialize, PartialEq, Eq, Serialize)]
 struct RouterEntry {
     domain: String,
     address: Option<String>,
 }
 
-/// What the routers of a fleet share.
+/// The shared secret's entry in the store.
 #[derive(Debug, Deserialize, Serialize)]
 struct SecretEntry {
     secret: String,
 }
 
-/// Whether this host was listed before.
+/// Whether this host was already registered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OwnEntry {
-    /// A process before listed it, and the fleet with it: nobody has to be waited for, and after a loss of all
-    /// routers callers are served at once.
-    Found,
-    /// It is new, as it is for all of a fleet that starts for the first time.
-    Made,
+    /// An earlier process registered it, and the fleet with it. There is no need to wait for
+    /// others, so that callers are served at once after a loss of all routers.
+    Existing,
+    /// The entry is new, as in a fleet that starts for the first time.
+    Created,
 }
 
-/// Lists this router in the store, and follows who else is listed.
+/// Registers this router in the store and follows the list of routers.
 pub(in crate::gateway) async fn run_registration(state: Rc<GatewayState>) {
-    spawn_local(run_secret(Rc::clone(&state)));
+    spawn_local(run_secret_setup(Rc::clone(&state)));
     let mut backoff = state.backoff("registration");
     let entry = loop {
         if let Ok(entry) = register(&state).await {
             break entry;
         }
-        sleep(Duration::from_millis(backoff.next_ms(LEAST_PAUSE_MS))).await;
+        sleep(Duration::from_millis(backoff.next_ms(MIN_BACKOFF_MS))).await;
     };
     list_routers(&state).await;
-    let is_complete = entry == OwnEntry::Found && state.lending.knows_routers();
+    let is_complete = entry == OwnEntry::Existing && state.lending.knows_routers();
     if !is_complete {
-        sleep(SETTLE_SPAN).await;
+        sleep(SECOND_LIST_DELAY).await;
         list_routers(&state).await;
     }
     state.lending.settle();
     update_roles(&state);
     loop {
-        sleep(LIST_SPAN).await;
+        sleep(LIST_INTERVAL).await;
         list_routers(&state).await;
     }
 }
 
-/// Learns the shared secret. Who keeps what does not wait for it: a keeper serves its own callers without.
-async fn run_secret(state: Rc<GatewayState>) {
+/// Loads the shared secret. The assignment of workspaces does not wait for it, as an allocator
+/// serves its own callers without it.
+async fn run_secret_setup(state: Rc<GatewayState>) {
     let mut backoff = state.backoff("secret");
-    while share_secret(&state).await.is_err() {
-        sleep(Duration::from_millis(backoff.next_ms(LEAST_PAUSE_MS))).await;
+    while load_or_create_secret(&state).await.is_err() {
+        sleep(Duration::from_millis(backoff.next_ms(MIN_BACKOFF_MS))).await;
     }
 }
 
-/// Learns who is listed. While the store is away the routers that are known stay; those that are
-/// gone are noticed by asking them.
+/// Reads the list of routers. While the store is unavailable the known routers are retained; those
+/// that are gone are detected when a request to them fails.
 async fn list_routers(state: &GatewayState) {
     let started = state.now();
     let listed = state.store.list_stale(ObjectKind::Routers).await;
     state.note_store_call(StoreCall::List(ObjectKind::Routers), started, &listed);
     if let Ok(listing) = listed {
-        take_routers(state, &listing.objects);
+        apply_routers(state, &listing.objects);
     }
 }
 
-fn take_routers(state: &GatewayState, objects: &[StoreObject]) {
+fn apply_routers(state: &GatewayState, objects: &[StoreObject]) {
     let records = objects
         .iter()
         .filter_map(|object| read_entry(state, object));
@@ -143,7 +145,7 @@
     let address = match entry.address {
         Some(text) => {
             let address = text.parse();
-            Some(address.map_err(|_| format!("`address` is {text:?}, not IP:PORT"))?)
+            Some(address.map_err(|_| format!("`address` is {text:?}, expected IP:PORT"))?)
         }
         None => None,
     };
@@ -154,8 +156,8 @@
     })
 }
 
-/// Makes or mends the entry of this host. It stays when the router ends: a host that is gone for
-/// good only makes the others' parts smaller, and one that is back has its part at once.
+/// Creates or corrects this host's entry. It remains after the router ends: a host that is gone for
+/// good only makes the others' shares smaller, and one that returns has its share at once.
 async fn register(state: &GatewayState) -> Result<OwnEntry, StoreFailure> {
     let settings = state.settings();
     let entry = RouterEntry {
@@ -166,28 +168,28 @@
         serde_json::to_value(&entry).map_err(|error| StoreFailure::Malformed(error.to_string()))?;
     let name = settings.host.as_str();
     if is_listed(state, name, &spec).await {
-        return Ok(OwnEntry::Found);
+        return Ok(OwnEntry::Existing);
     }
     let started = state.now();
     let created = state.store.create(ObjectKind::Routers, name, &spec).await;
     state.note_store_call(StoreCall::Register, started, &created);
     let object = match created {
-        Ok(_) | Err(StoreFailure::Conflict(None)) => return Ok(OwnEntry::Made),
+        Ok(_) | Err(StoreFailure::Conflict(None)) => return Ok(OwnEntry::Created),
         Err(StoreFailure::Conflict(Some(object))) => object,
         Err(failure) => return Err(failure),
     };
     if object.spec == spec {
-        return Ok(OwnEntry::Found);
+        return Ok(OwnEntry::Existing);
     }
     let started = state.now();
     let revision = object.revision();
     let kind = ObjectKind::Routers;
     let replaced = state.store.replace(kind, name, revision, &spec).await;
     state.note_store_call(StoreCall::Register, started, &replaced);
-    replaced.map(|_| OwnEntry::Made)
+    replaced.map(|_| OwnEntry::Created)
 }
 
-/// Whether the entry of this host is there from a process before, as it usually is when a router starts again.
+/// Returns whether an earlier process left a correct entry of this host, as usual after a restart.
 async fn is_listed(state: &GatewayState, name: &str, spec: &Value) -> bool {
     let started = state.now();
     let read = state.store.read_stale(ObjectKind::Routers, name).await;
@@ -195,23 +197,23 @@
     read.is_ok_and(|object| object.spec == *spec)
 }
 
-/// Learns the secret that routers share. The first router of the fleet makes it; the others that start with it
-/// look for it once more before they try, as each of them would do so otherwise.
-async fn share_secret(state: &GatewayState) -> Result<(), StoreFailure> {
-    if let Some(secret) = find_secret(state).await {
-        return take_secret(state, secret);
+/// Loads the shared secret. The first router of the fleet creates it; others that start at the same
+/// time read it once more after a random delay, as each of them would otherwise try to create it.
+async fn load_or_create_secret(state: &GatewayState) -> Result<(), StoreFailure> {
+    if let Some(secret) = read_secret(state).await {
+        return apply_secret(state, secret);
     }
-    let spread_ms = rand::random_range(0..=SECRET_SPREAD_MS);
-    sleep(Duration::from_millis(spread_ms)).await;
-    if let Some(secret) = find_secret(state).await {
-        return take_secret(state, secret);
+    let delay_ms = rand::random_range(0..=SECRET_SPREAD_MS);
+    sleep(Duration::from_millis(delay_ms)).await;
+    if let Some(secret) = read_secret(state).await {
+        return apply_secret(state, secret);
     }
-    let made = make_secret(state).await?;
-    take_secret(state, made)
+    let created = create_secret(state).await?;
+    apply_secret(state, created)
 }
 
-/// Reads the secret, which never changes: an old answer is as good as a new one.
-async fn find_secret(state: &GatewayState) -> Option<StoreObject> {
+/// Reads the secret. It never changes, so a stale read suffices.
+async fn read_secret(state: &GatewayState) -> Option<StoreObject> {
     let started = state.now();
     let kind = ObjectKind::Budgets;
     let read = state.store.read_stale(kind, SECRET_NAME).await;
@@ -219,14 +221,14 @@
     read.ok()
 }
 
-fn take_secret(state: &GatewayState, object: StoreObject) -> Result<(), StoreFailure> {
+fn apply_secret(state: &GatewayState, object: StoreObject) -> Result<(), StoreFailure> {
     let entry: SecretEntry = serde_json::from_value(object.spec)
         .map_err(|error| StoreFailure::Malformed(error.to_string()))?;
     state.lending.set_secret(entry.secret);
     Ok(())
 }
 
-async fn make_secret(state: &GatewayState) -> Result<StoreObject, StoreFailure> {
+async fn create_secret(state: &GatewayState) -> Result<StoreObject, StoreFailure> {
     let mut bytes = [0_u8; SECRET_BYTES];
     rand::rng().fill_bytes(&mut bytes);
     let entry = SecretEntry {
--- /dev/null
+++ b/crates/beechsaddle/src/gateway/changes/store_follow.rs
@@ -0,0 +1,292 @@
+//! The `store_follow` module provides the following of configurations and targets, through the
+//! store or a router that follows it.
+
+use std::future::pending;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::Duration;
+
+use beechsaddle_core::gateway::ChangeSource;
+use beechsaddle_core::prelude::*;
+use beechsaddle_core::report::LogLevel;
+use beechsaddle_platform::{ObjectKind, StoreFailure, StoreListing, StoreNews};
+use tokio::time::{sleep, timeout};
+
+use super::change_apply::{apply_changes, apply_listing};
+use super::follow_call::{FollowStep, follow_router};
+use crate::gateway::gateway_state::GatewayState;
+use crate::gateway::store_call::StoreCall;
+
+/// Minimum delay after a failure, in milliseconds. Without it, all routers would repeat calls that
+/// fail at once without a pause.
+const MIN_BACKOFF_MS: u64 = 60;
+
+/// Maximum delay after a failure, in milliseconds.
+const MAX_BACKOFF_MS: u64 = 500;
+
+/// Minimum interval between two answers of a watch, in milliseconds. Starting targets change their
+/// entries with every heartbeat, and each change would end the watch of each router and cost a
+/// call. Changes within the interval are part of the next answer. The first change after a quiet
+/// time is delivered at once; one that follows it is delayed by this much at most, a fifth of the
+/// time for which a leaving target still serves.
+const WATCH_INTERVAL_MS: u64 = 400;
+
+/// Maximum duration of a watch by a router that no follower could serve, and the pause if the store
+/// does not answer it either. Both are short, so that the router returns to the followers as soon
+/// as they reach the store.
+const FALLBACK_WATCH: Duration = Duration::from_millis(1_000);
+/// See [`FALLBACK_WATCH`].
+const FALLBACK_PAUSE: Duration = Duration::from_millis(250);
+
+/// How long a starting router waits for the list of the other routers: well within the time in
+/// which it must be as up to date as they are.
+pub(in crate::gateway) const SETTLE_WAIT: Duration = Duration::from_millis(2_500);
+
+/// The next step of following a kind.
+enum StoreStep {
+    Changes(StoreNews),
+    /// A complete listing, as changes may have been missed.
+    Listing(StoreListing),
+}
+
+/// Follows one kind of objects indefinitely: a listing, then changes from its revision on, from the
+/// store or from a router that follows it.
+///
+/// If a watch is late or a probe fails, a listing is requested over a new connection, because
+/// changes may have been missed; a listing is authoritative. The watch is still awaited, and the
+/// first of the two to answer counts. Over a saturated link of the router, answers arrive late
+/// while new connections time out: dropping the old watch left routers of a large fleet without new
+/// configurations for three to eight seconds.
+pub(in crate::gateway) async fn follow_kind(state: Rc<GatewayState>, kind: ObjectKind) {
+    let started = state.now();
+    let listing = list_until_success(&state, kind).await;
+    record_known(&state, kind, started);
+    state.relay.begin(kind, &listing);
+    apply_listing(&state, kind, &listing);
+    // The router to follow is known once the routers that started together are listed. Without the
+    // wait, each of them would begin with watches of its own.
+    let settled = timeout(SETTLE_WAIT, state.lending.settled()).await;
+    if settled.is_err() {
+        let fields = [("duty", kind_name(kind).to_owned())];
+        let report = &state.report;
+        report.log(LogLevel::Warning, "routers_unlisted", fields);
+    }
+    let mut revision = listing.revision;
+    loop {
+        let is_follower = {
+            let choice = state.relay.choice.borrow();
+            choice.is_follower(state.now(), &state.lending.ring.borrow())
+        };
+        state.metrics.follows_store.set(is_follower.into());
+        revision = match is_follower {
+            true => follow_store(&state, kind, revision).await,
+            false => follow_peer(&state, kind, revision).await,
+        };
+    }
+}
+
+/// Follows the store for one step; returns the revision to continue from.
+async fn follow_store(state: &GatewayState, kind: ObjectKind, revision: u64) -> u64 {
+    let started = state.now();
+    state.relay.set_watched(kind, true);
+    let step = next_store_step(state, kind, revision).await;
+    let revision = apply_step(state, kind, revision, step);
+    record_known(state, kind, started);
+    let took_ms = state.now().since(started);
+    sleep(Duration::from_millis(
+        WATCH_INTERVAL_MS.saturating_sub(took_ms),
+    ))
+    .await;
+    revision
+}
+
+/// Follows a router that follows the store for one step; returns the revision to continue from.
+async fn follow_peer(state: &GatewayState, kind: ObjectKind, revision: u64) -> u64 {
+    let started = state.now();
+    state.relay.set_watched(kind, false);
+    let source = {
+        let choice = state.relay.choice.borrow();
+        choice.source(state.now(), &state.lending.ring.borrow())
+    };
+    let step = match source {
+        ChangeSource::Store => FollowStep::Gone,
+        ChangeSource::Router(peer) => follow_router(state, &peer, kind, revision).await,
+    };
+    match step {
+        FollowStep::Changes(batches, known) => {
+            for changes in batches {
+                apply_step(state, kind, revision, StoreStep::Changes(changes));
+            }
+            record_known(state, kind, started);
+            known.max(revision)
+        }
+        FollowStep::Gone => watch_store_once(state, kind, revision).await,
+        FollowStep::Failed => revision,
+    }
+}
+
+/// Reads changes from the store itself when no follower can provide them.
+async fn watch_store_once(state: &GatewayState, kind: ObjectKind, revision: u64) -> u64 {
+    if !state.store_health.answers() {
+        sleep(FALLBACK_PAUSE).await;
+        return revision;
+    }
+    let started = state.now();
+    let watching = state.store.watch(kind, revision, FALLBACK_WATCH);
+    let deadline = FALLBACK_WATCH + state.settings().store.call_timeout;
+    let watched = match timeout(deadline, watching).await {
+        Ok(watched) => watched,
+        Err(_) => Err(StoreFailure::Unknown("no answer in time".to_owned())),
+    };
+    state.note_store_call(StoreCall::Watch(kind), started, &watched);
+    let step = match watched {
+        Ok(changes) => StoreStep::Changes(changes),
+        Err(StoreFailure::HistoryGone) => match try_list(state, kind).await {
+            Some(listing) => StoreStep::Listing(listing),
+            None => return revision,
+        },
+        Err(failure) => {
+            // Probes show when another try is worthwhile.
+            state.store_health.note(!failure.is_away());
+            sleep(FALLBACK_PAUSE).await;
+            return revision;
+        }
+    };
+    record_known(state, kind, started);
+    apply_step(state, kind, revision, step)
+}
+
+/// Records that all changes up to `started` are known. An answer may have been delayed by a
+/// saturated link, so that nothing later is certain.
+fn record_known(state: &GatewayState, kind: ObjectKind, started: ClockTime) {
+    if kind == ObjectKind::Targets {
+        state.note_targets_known(started);
+    }
+}
+
+/// Applies a step and records it for the routers that follow this one; returns the revision to
+/// continue from.
+fn apply_step(state: &GatewayState, kind: ObjectKind, revision: u64, step: StoreStep) -> u64 {
+    let (recorded, known) = match &step {
+        StoreStep::Changes(changes) => {
+            apply_changes(state, kind, changes);
+            let recorded = state.relay.try_record_changes(kind, changes);
+            (recorded, changes.revision.max(revision))
+        }
+        StoreStep::Listing(listing) => {
+            apply_listing(state, kind, listing);
+            let recorded = state.relay.try_record_listing(kind, listing);
+            (recorded, listing.revision)
+        }
+    };
+    if let Err(error) = recorded {
+        let fields = [
+            ("duty", kind_name(kind).to_owned()),
+            ("error", error.to_string()),
+        ];
+        let report = &state.report;
+        report.log(LogLevel::Error, "news_not_passed_on", fields);
+    }
+    known
+}
+
+/// Waits for changes in the store after `revision`.
+async fn next_store_step(state: &GatewayState, kind: ObjectKind, revision: u64) -> StoreStep {
+    let settings = state.settings();
+    let started = state.now();
+    let mut watching = pin!(state.store.watch(kind, revision, settings.watch_wait));
+    let deadline = settings.watch_wait + settings.store.call_timeout;
+    let watched = tokio::select! {
+        watched = &mut watching => Some(watched),
+        () = state.store_health.lost() => None,
+        () = sleep(deadline) => None,
+    };
+    let Some(watched) = watched else {
+        let late = StoreFailure::Unknown("no answer in time, or the store probe failed".to_owned());
+        state.note_store_call::<()>(StoreCall::Watch(kind), started, &Err(late.clone()));
+        return recover_watch(state, kind, &late, watching.as_mut()).await;
+    };
+    state.note_store_call(StoreCall::Watch(kind), started, &watched);
+    match watched {
+        Ok(changes) => StoreStep::Changes(changes),
+        // A compacted history is no failure of the store: the listing is requested at once.
+        Err(StoreFailure::HistoryGone) => {
+            state.relay.set_watched(kind, false);
+            StoreStep::Listing(list_until_success(state, kind).await)
+        }
+        Err(failure) => recover_watch(state, kind, &failure, pending()).await,
+    }
+}
+
+/// Waits for a listing or the late answer of a watch, whichever comes first.
+async fn recover_watch(
+    state: &GatewayState,
+    kind: ObjectKind,
+    failure: &StoreFailure,
+    watching: impl Future<Output = Result<StoreNews, StoreFailure>>,
+) -> StoreStep {
+    log_dependency(state, "store_lost", kind, failure.to_string());
+    state.relay.set_watched(kind, false);
+    let mut listing = pin!(list_with_backoff(state, kind));
+    let step = tokio::select! {
+        watched = watching => match watched {
+            Ok(changes) => StoreStep::Changes(changes),
+            // The listing decides, whatever the watch failed with.
+            Err(_) => StoreStep::Listing(listing.await),
+        },
+        listing = &mut listing => StoreStep::Listing(listing),
+    };
+    state.note_store_answer();
+    let revision = match &step {
+        StoreStep::Changes(changes) => changes.revision,
+        StoreStep::Listing(listing) => listing.revision,
+    };
+    log_dependency(state, "store_regained", kind, revision.to_string());
+    step
+}
+
+/// Requests a listing after a delay, until one succeeds.
+async fn list_with_backoff(state: &GatewayState, kind: ObjectKind) -> StoreListing {
+    let mut backoff = state.backoff(kind_name(kind));
+    loop {
+        if state.store_health.answering().await {
+            backoff.reset();
+        }
+        let pause_ms = backoff.next_ms(MIN_BACKOFF_MS).min(MAX_BACKOFF_MS);
+        sleep(Duration::from_millis(pause_ms)).await;
+        if let Some(listing) = try_list(state, kind).await {
+            return listing;
+        }
+    }
+}
+
+/// Requests a listing at once, then after delays, until one succeeds.
+async fn list_until_success(state: &GatewayState, kind: ObjectKind) -> StoreListing {
+    match try_list(state, kind).await {
+        Some(listing) => listing,
+        None => list_with_backoff(state, kind).await,
+    }
+}
+
+/// Requests a listing; a failure is counted and logged as a store call.
+async fn try_list(state: &GatewayState, kind: ObjectKind) -> Option<StoreListing> {
+    let started = state.now();
+    let listed = state.store.list(kind).await;
+    state.note_store_call(StoreCall::List(kind), started, &listed);
+    listed.ok()
+}
+
+fn log_dependency(state: &GatewayState, event: &'static str, kind: ObjectKind, detail: String) {
+    let fields = [("duty", kind_name(kind).to_owned()), ("detail", detail)];
+    state.report.log(LogLevel::Warning, event, fields);
+}
+
+pub(super) fn kind_name(kind: ObjectKind) -> &'static str {
+    match kind {
+        ObjectKind::Config => "config",
+        ObjectKind::Targets => "targets",
+        ObjectKind::Routers => "routers",
+        ObjectKind::Budgets => "budgets",
+        ObjectKind::Crashes => "crashes",
+    }
+}
--- /dev/null
+++ b/crates/beechsaddle/src/gateway/crashes/crash_broadcast.rs
@@ -0,0 +1,153 @@
+//! The `crash_broadcast` module provides the exchange of crash reports between routers.
+
+use std::rc::Rc;
+
+use beechsaddle_core::gateway::{CrashReport, PeerRecord, RequestFingerprint};
+use tokio::task::spawn_local;
+use tokio::time::timeout;
+
+use super::crash_manager::apply_reports;
+use crate::gateway::gateway_state::GatewayState;
+use crate::gateway::token_lending::{LOAN_SPAN, mark_down};
+
+/// The origin of a crash report, which determines the routers that do not have it yet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::gateway) enum ReportOrigin {
+    /// This router detected the crash.
+    Local,
+    /// The router that detected the crash sent the report to this one, its coordinator.
+    Peer,
+    /// The report was in the store.
+    Store,
+    /// Another router sent the report to the whole domain.
+    Broadcast,
+}
+
+/// Applies reports from another router. `is_broadcast` says that it sends them to the whole domain
+/// itself.
+pub(in crate::gateway) fn receive_crash_reports(
+    state: &Rc<GatewayState>,
+    reports: impl IntoIterator<Item = CrashReport>,
+    is_broadcast: bool,
+) {
+    let changed = apply_reports(state, reports);
+    let origin = match is_broadcast {
+        true => ReportOrigin::Broadcast,
+        false => ReportOrigin::Peer,
+    };
+    distribute_reports(state, changed, origin);
+}
+
+/// Sends the reports of changed requests to the routers that need them.
+pub(super) fn distribute_reports(
+    state: &Rc<GatewayState>,
+    changed: impl IntoIterator<Item = RequestFingerprint>,
+    origin: ReportOrigin,
+) {
+    for fingerprint in changed {
+        let (reports, is_shared) = {
+            let registry = state.crashes.registry.borrow();
+            (
+                registry.reports(fingerprint),
+                registry.is_shared(fingerprint),
+            )
+        };
+        if is_shared {
+            state.crashes.writer_wake.notify_one();
+        }
+        if origin == ReportOrigin::Local {
+            report_to_coordinators(state, fingerprint, &reports);
+        }
+        let is_coordinator = coordinator(state, fingerprint).is_none();
+        let is_rebroadcast = match origin {
+            ReportOrigin::Local => is_coordinator,
+            ReportOrigin::Peer | ReportOrigin::Store => true,
+            ReportOrigin::Broadcast => false,
+        };
+        if is_shared && is_rebroadcast {
+            broadcast_to_domain(state, &reports);
+        }
+    }
+}
+
+/// Reports the crashes of a request to its coordinators in all domains.
+fn report_to_coordinators(
+    state: &Rc<GatewayState>,
+    fingerprint: RequestFingerprint,
+    reports: &[CrashReport],
+) {
+    let name = fingerprint.to_string();
+    let foreign: Vec<_> = {
+        let ring = state.lending.ring.borrow();
+        let coordinators = ring.foreign_coordinators_of(state.now(), &name);
+        coordinators.into_iter().cloned().collect()
+    };
+    for peer in foreign {
+        let (state, reports) = (Rc::clone(state), reports.to_vec());
+        spawn_local(async move { send_reports(&state, &peer, &reports, false).await });
+    }
+    let (state, reports) = (Rc::clone(state), reports.to_vec());
+    spawn_local(async move { report_to_own_coordinator(&state, fingerprint, &reports).await });
+}
+
+/// Reports to the coordinator of the own domain, or to the next in line if that one does not
+/// answer.
+async fn report_to_own_coordinator(
+    state: &Rc<GatewayState>,
+    fingerprint: RequestFingerprint,
+    reports: &[CrashReport],
+) {
+    let mut unresponsive = None;
+    loop {
+        match coordinator(state, fingerprint) {
+            // The same router is still the coordinator, because a router with a saturated link
+            // marks no other as down. The others get the report from the store.
+            Some(peer) if unresponsive.as_ref() == Some(&peer.host) => return,
+            Some(peer) if send_reports(state, &peer, reports, false).await => return,
+            Some(peer) => unresponsive = Some(peer.host),
+            None => {
+                if state.crashes.registry.borrow().is_shared(fingerprint) {
+                    broadcast_to_domain(state, reports);
+                }
+                return;
+            }
+        }
+    }
+}
+
+fn coordinator(state: &GatewayState, fingerprint: RequestFingerprint) -> Option<PeerRecord> {
+    let ring = state.lending.ring.borrow();
+    let coordinator = ring.coordinator_of(state.now(), &fingerprint.to_string());
+    coordinator.cloned()
+}
+
+fn broadcast_to_domain(state: &Rc<GatewayState>, reports: &[CrashReport]) {
+    let neighbours: Vec<_> = {
+        let ring = state.lending.ring.borrow();
+        ring.neighbours(state.now()).cloned().collect()
+    };
+    for peer in neighbours {
+        let (state, reports) = (Rc::clone(state), reports.to_vec());
+        spawn_local(async move { send_reports(&state, &peer, &reports, true).await });
+    }
+}
+
+/// Sends reports to one router; returns whether it answered.
+async fn send_reports(
+    state: &GatewayState,
+    peer: &PeerRecord,
+    reports: &[CrashReport],
+    is_broadcast: bool,
+) -> bool {
+    let secret = state.lending.secret();
+    let now = state.now();
+    let links = &state.lending.links;
+    let sent = links.note_crashes(peer, &secret, now, reports, is_broadcast);
+    let failure = match timeout(LOAN_SPAN, sent).await {
+        Ok(Ok(())) => return true,
+        Ok(Err(error)) => error,
+        Err(_) => "no answer in time".to_owned(),
+    };
+    mark_down(state, peer, &failure);
+    false
+}
--- a/crates/beechsaddle/src/gateway/crashes/crash_document.rs
+++ b/crates/beechsaddle/src/gateway/crashes/crash_document.rs
@@ -1,11 +1,11 @@
-//! The `crash_document` module provides crashes as they lie in the store.
+//! The `crash_document` module provides the encoding of crash reports in the store.
 
 use beechsaddle_core::gateway::{CrashFacts, CrashReport, RequestFingerprint, TargetIncarnation};
 use beechsaddle_core::prelude::*;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The one object of crashes that all routers share.
+/// The name of the one crash object that all routers share.
 pub(super) const CRASHES_NAME: &str = "main";
 
 #[derive(Debug, Default, Deserialize, Serialize)]
@@ -27,12 +27,12 @@
 }
 
 impl CrashEntry {
-    fn new(sighting: &CrashReport) -> Self {
+    fn new(report: &CrashReport) -> Self {
         let CrashReport {
             fingerprint,
             target,
             facts,
-        } = sighting;
+        } = report;
         CrashEntry {
             request: fingerprint.to_string(),
             target: target.name.to_string(),
@@ -61,11 +61,12 @@
     }
 }
 
-/// The crashes of an object. An entry that cannot be read, as another version may write one, hides no other.
+/// Decodes the crash reports of an object. An entry that cannot be read, such as one of another
+/// version, is skipped.
 ///
 /// # Errors
 ///
-/// When the object as a whole is none of crashes.
+/// Returns an error if the object as a whole is not a crash document.
 pub(super) fn read_crashes(spec: &Value) -> Result<Vec<CrashReport>, serde_json::Error> {
     let document = CrashDocument::deserialize(spec)?;
     let entries = document.crashes.into_iter();
@@ -73,16 +74,16 @@
     Ok(entries.filter_map(CrashEntry::read).collect())
 }
 
-/// The object that holds some crashes.
+/// Encodes crash reports as an object.
 ///
 /// # Errors
 ///
-/// When one cannot be written as JSON.
+/// Returns an error if a report cannot be encoded as JSON.
 pub(super) fn write_crashes<'a>(
     reports: impl IntoIterator<Item = &'a CrashReport>,
 ) -> Result<Value, serde_json::Error> {
     let entries = reports.into_iter();
-    let entries = entries.map(|sighting| serde_json::to_value(CrashEntry::new(sighting)));
+    let entries = entries.map(|report| serde_json::to_value(CrashEntry::new(report)));
     serde_json::to_value(CrashDocument {
         crashes: entries.collect::<Result<_, _>>()?,
     })
--- a/crates/beechsaddle/src/gateway/crashes/crash_desk.rs
+++ b/crates/beechsaddle/src/gateway/crashes/crash_manager.rs
@@ -1,4 +1,5 @@
-//! The `crash_desk` module provides what this router knows of crashes, and which requests it takes.
+//! The `crash_manager` module provides this router's crash reports and the admission of requests by
+//! them.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -9,75 +10,76 @@
 use beechsaddle_core::report::LogLevel;
 use tokio::sync::Notify;
 
-use super::crash_spread::{NoteOrigin, spread_notes};
+use super::crash_broadcast::{ReportOrigin, distribute_reports};
 use super::crash_store::StoredCrashes;
 use crate::gateway::gateway_state::GatewayState;
 
-/// When to ask again for a request that is being tried, in milliseconds: most runs are over by then.
+/// Retry delay for a request whose trial is in progress, in milliseconds: most runs finish within
+/// it.
 const TRIAL_RETRY_MS: u64 = 1_000;
 
-/// Crashes that this router knows of, and what is under way because of them.
+/// The crash reports of this router and the trials in progress.
 #[derive(Default)]
-pub(in crate::gateway) struct CrashDesk {
-    pub(super) book: RefCell<CrashRegistry>,
-    /// Requests that are being tried here.
+pub(in crate::gateway) struct CrashManager {
+    pub(super) registry: RefCell<CrashRegistry>,
+    /// Requests on trial at this router.
     trials: RefCell<BTreeSet<RequestFingerprint>>,
-    /// What the store has.
+    /// The reports that the store has.
     pub(super) stored: RefCell<StoredCrashes>,
     /// Wakes the writer of the store's object.
-    pub(super) wake: Notify,
+    pub(super) writer_wake: Notify,
 }
 
-impl CrashDesk {
-    /// How many crashes a request may have caused.
+impl CrashManager {
+    /// Returns how many crashes are attributed to a request.
     pub(in crate::gateway) fn crash_count(&self, fingerprint: RequestFingerprint) -> usize {
-        self.book.borrow().crash_count(fingerprint)
+        self.registry.borrow().crash_count(fingerprint)
     }
 
-    /// How many of these were not seen just now.
+    /// Returns how many of these crashes were not seen just before `now`.
     pub(in crate::gateway) fn settled_count(
         &self,
         now: ClockTime,
         fingerprint: RequestFingerprint,
     ) -> usize {
-        self.book.borrow().settled_count(now, fingerprint)
+        self.registry.borrow().settled_count(now, fingerprint)
     }
 
-    /// Whether a request is refused everywhere.
+    /// Returns whether every router refuses the request.
     pub(in crate::gateway) fn is_blocked(
         &self,
         now: ClockTime,
         fingerprint: RequestFingerprint,
     ) -> bool {
-        let verdict = self.book.borrow().verdict(now, fingerprint);
+        let verdict = self.registry.borrow().verdict(now, fingerprint);
         matches!(verdict, CrashVerdict::Blocked { .. })
     }
 
-    /// How many requests are refused.
+    /// Returns the number of refused requests.
     pub(in crate::gateway) fn blocked_count(&self) -> usize {
-        self.book.borrow().blocked_count()
+        self.registry.borrow().blocked_count()
     }
 
-    /// Forgets what is too old.
+    /// Removes expired reports.
     pub(in crate::gateway) fn expire(&self, now: ClockTime) {
-        self.book.borrow_mut().expire(now);
+        self.registry.borrow_mut().expire(now);
     }
 }
 
-/// Whether a request is taken.
+/// Whether a request is admitted.
 pub(in crate::gateway) enum CrashAdmission {
-    /// It is; the guard is held while it is tried.
+    /// The request is admitted; the guard is held during a trial.
     Admitted(Option<TrialGuard>),
-    /// It crashes targets.
+    /// The request crashes targets.
     Refused {
-        /// When to come back, in milliseconds.
+        /// Retry delay in milliseconds.
         retry_ms: u64,
-        /// Targets that crashed under it.
+        /// Names of the targets that crashed while they ran it.
         targets: String,
     },
 }
 
-/// One try of a request that may crash targets. Dropping it lets the next try begin.
+/// The trial of a request that may crash targets. Dropping it lets the next trial begin.
 pub(in crate::gateway) struct TrialGuard {
     state: Rc<GatewayState>,
     fingerprint: RequestFingerprint,
@@ -90,13 +92,13 @@
     }
 }
 
-/// Decides whether a request is taken that has just arrived.
+/// Decides whether to admit a request that has just arrived.
 pub(in crate::gateway) fn admit_request(
     state: &Rc<GatewayState>,
     fingerprint: RequestFingerprint,
 ) -> CrashAdmission {
     let now = state.now();
-    let verdict = state.crashes.book.borrow().verdict(now, fingerprint);
+    let verdict = state.crashes.registry.borrow().verdict(now, fingerprint);
     let retry_ms = match verdict {
         CrashVerdict::Clear | CrashVerdict::Suspected => return CrashAdmission::Admitted(None),
         CrashVerdict::Blocked { left_ms } => left_ms,
@@ -107,11 +109,11 @@
     };
     CrashAdmission::Refused {
         retry_ms,
-        targets: target_names(&state.crashes.book.borrow(), fingerprint),
+        targets: target_names(&state.crashes.registry.borrow(), fingerprint),
     }
 }
 
-/// Begins a try, if it is this router's to try the request and it is not trying it.
+/// Begins a trial if this router is the request's coordinator and no trial of it is in progress.
 fn try_trial(
     state: &Rc<GatewayState>,
     now: ClockTime,
@@ -126,15 +128,15 @@
     })
 }
 
-/// Notes that a request ran to its end: it crashes nothing.
-pub(in crate::gateway) fn note_completed(
+/// Records that a request completed, which clears it of crashes.
+pub(in crate::gateway) fn record_completion(
     state: &Rc<GatewayState>,
     fingerprint: RequestFingerprint,
 ) {
-    if state.crashes.book.borrow().is_empty() {
+    if state.crashes.registry.borrow().is_empty() {
         return;
     }
-    let cleared = state.crashes.book.borrow_mut().clear(fingerprint);
+    let cleared = state.crashes.registry.borrow_mut().clear(fingerprint);
     if cleared.is_empty() {
         return;
     }
@@ -142,38 +144,38 @@
     let report = &state.report;
     report.log(LogLevel::Info, "request_cleared", fields);
     state.note_blocked_count();
-    spread_notes(state, [fingerprint], NoteOrigin::Own);
+    distribute_reports(state, [fingerprint], ReportOrigin::Local);
 }
 
-/// Takes over crashes; gives the requests of which something was news.
-pub(super) fn take_sightings(
+/// Applies crash reports and returns the requests for which they changed anything.
+pub(super) fn apply_reports(
     state: &GatewayState,
     reports: impl IntoIterator<Item = CrashReport>,
 ) -> BTreeSet<RequestFingerprint> {
     let now = state.now();
-    let mut news = BTreeSet::new();
-    for sighting in reports {
-        let fingerprint = sighting.fingerprint;
-        let mut book = state.crashes.book.borrow_mut();
-        if book.record(now, sighting) {
-            news.insert(fingerprint);
+    let mut changed = BTreeSet::new();
+    for report in reports {
+        let fingerprint = report.fingerprint;
+        let mut registry = state.crashes.registry.borrow_mut();
+        if registry.record(now, report) {
+            changed.insert(fingerprint);
         }
     }
-    for fingerprint in &news {
-        log_block(state, now, *fingerprint);
+    for fingerprint in &changed {
+        log_blocked(state, now, *fingerprint);
     }
     state.note_blocked_count();
-    news
+    changed
 }
 
-fn log_block(state: &GatewayState, now: ClockTime, fingerprint: RequestFingerprint) {
-    let book = state.crashes.book.borrow();
-    let CrashVerdict::Blocked { left_ms } = book.verdict(now, fingerprint) else {
+fn log_blocked(state: &GatewayState, now: ClockTime, fingerprint: RequestFingerprint) {
+    let registry = state.crashes.registry.borrow();
+    let CrashVerdict::Blocked { left_ms } = registry.verdict(now, fingerprint) else {
         return;
     };
     let fields = [
         ("fingerprint", fingerprint.to_string()),
-        ("targets", target_names(&book, fingerprint)),
+        ("targets", target_names(&registry, fingerprint)),
         ("span_ms", left_ms.to_string()),
     ];
     state
@@ -181,8 +183,8 @@
         .log(LogLevel::Warning, "request_blocked", fields);
 }
 
-fn target_names(book: &CrashRegistry, fingerprint: RequestFingerprint) -> String {
-    let targets = book.targets(fingerprint);
+fn target_names(registry: &CrashRegistry, fingerprint: RequestFingerprint) -> String {
+    let targets = registry.targets(fingerprint);
     let names: Vec<_> = targets.iter().map(|target| target.name.as_str()).collect();
     names.join(",")
 }
--- a/crates/beechsaddle/src/gateway/crashes/crash_probe.rs
+++ b/crates/beechsaddle/src/gateway/crashes/crash_probe.rs
@@ -1,4 +1,4 @@
-//! The `crash_probe` module provides the question whether a target has crashed whose connection broke.
+//! The `crash_probe` module provides the check whether a target whose connection broke has crashed.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -13,34 +13,34 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use super::crash_desk::take_sightings;
-use super::crash_spread::{NoteOrigin, spread_notes};
+use super::crash_broadcast::{ReportOrigin, distribute_reports};
+use super::crash_manager::apply_reports;
 use crate::gateway::gateway_state::GatewayState;
 
-/// How long a target is asked whether it takes connections. On a crowded link the answer takes long.
-const PROBE_SPAN: Duration = Duration::from_millis(1_000);
+/// Timeout of the probe's connection attempt. It is long because connecting is slow over a
+/// saturated link.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long a call waits for that answer before it is sent to another target: some round trips.
-const CALL_WAIT: Duration = Duration::from_millis(150);
+/// How long a call waits for the probe before it is sent to another target: some round trips.
+const CALL_WAIT_LIMIT: Duration = Duration::from_millis(150);
 
-/// A request on a target.
+/// A request that ran on a target whose connection broke.
 #[derive(Clone, Debug)]
 pub(in crate::gateway) struct SuspectRun {
-    /// The request.
     pub(in crate::gateway) fingerprint: RequestFingerprint,
-    /// The target.
     pub(in crate::gateway) target: TargetRecord,
-    /// Crashes under the request that were known when it was sent.
+    /// Number of crashes attributed to the request when it was sent.
     pub(in crate::gateway) known_before: usize,
-    /// When it was sent.
+    /// When the request was sent.
     pub(in crate::gateway) started_at: ClockTime,
 }
 
-/// Finds out whether a target crashed under a run, where its connection broke, and has it noted if so.
+/// Checks whether a target crashed while it ran a request, and records the crash if so.
 ///
-/// A connection that breaks says little: targets reset single calls, and links lose connections. A process that
-/// has ended refuses new ones. Where neither is certain, as behind a cut link, nothing is held against the request.
-pub(in crate::gateway) async fn look_for_crash(
+/// A broken connection alone proves little: targets reset single calls, and links lose connections.
+/// A process that has ended refuses new connections. If neither is certain, as behind a severed
+/// link, no crash is attributed to the request.
+pub(in crate::gateway) async fn detect_crash(
     state: &Rc<GatewayState>,
     run: SuspectRun,
     end: AttemptEnd,
@@ -50,11 +50,12 @@
     }
     let run_ms = state.now().since(run.started_at);
     let probe = probe_target(Rc::clone(state), run, run_ms);
-    // The probe goes on where the call waits no longer: its answer still counts for the request's next attempt.
-    let _ = timeout(CALL_WAIT, spawn_local(probe)).await;
+    // The probe continues after this timeout: its result still counts for the request's next
+    // attempt.
+    let _ = timeout(CALL_WAIT_LIMIT, spawn_local(probe)).await;
 }
 
-/// Whether a target should be running: one that leaves may end at any time.
+/// Returns whether a target is expected to run; a draining one may exit at any time.
 fn is_expected_up(state: &GatewayState, target: &TargetRecord) -> bool {
     let roster = state.roster.borrow();
     roster.get(&target.name).is_some_and(|entry| {
@@ -64,21 +65,21 @@
 
 async fn probe_target(state: Rc<GatewayState>, run: SuspectRun, run_ms: u64) {
     let options = LinkOptions {
-        connect_timeout: PROBE_SPAN,
+        connect_timeout: PROBE_TIMEOUT,
         ..LinkOptions::default()
     };
     let address = run.target.address;
     match HttpLink::try_connect(address, options).await {
         Ok(link) => state.pool.put(state.now(), address, link, None),
         Err(LinkFailure::Connect(error)) if error.kind() == ErrorKind::ConnectionRefused => {
-            note_crash(&state, &run, run_ms);
+            record_crash(&state, &run, run_ms);
         }
-        // Nobody knows; the next attempt there finds out.
+        // Inconclusive; the next attempt at this target will show.
         Err(_) => {}
     }
 }
 
-fn note_crash(state: &Rc<GatewayState>, run: &SuspectRun, run_ms: u64) {
+fn record_crash(state: &Rc<GatewayState>, run: &SuspectRun, run_ms: u64) {
     let fields = [
         ("target", run.target.name.to_string()),
         ("fingerprint", run.fingerprint.to_string()),
@@ -89,7 +90,7 @@
         .report
         .log(LogLevel::Warning, "target_crashed", fields);
     state.metrics.crashes_seen.inc();
-    let sighting = CrashReport {
+    let report = CrashReport {
         fingerprint: run.fingerprint,
         target: run.target.incarnation(),
         facts: CrashFacts {
@@ -99,6 +100,6 @@
             seen_at: state.now(),
         },
     };
-    let news = take_sightings(state, [sighting]);
-    spread_notes(state, news, NoteOrigin::Own);
+    let changed = apply_reports(state, [report]);
+    distribute_reports(state, changed, ReportOrigin::Local);
 }
--- a/crates/beechsaddle/src/gateway/crashes/mod.rs
+++ b/crates/beechsaddle/src/gateway/crashes/mod.rs
@@ -1,18 +1,22 @@
-//! The `crashes` module provides the guard against requests that crash the targets which run them.
+//! The `crashes` module provides the protection against requests that crash the targets that run
+//! them.
 //!
-//! Each router sees the crashes of its own attempts. One router of each domain hears of them first, by rendezvous
-//! hashing over the list of routers; what concerns everybody goes to all routers of its domain and to the store, by
-//! which domains that are cut off from each other hear of it too.
+//! Each router detects crashes in its own attempts and reports them to a coordinator in each
+//! domain, which is chosen by rendezvous hashing over the list of routers. Reports that affect
+//! every router are broadcast within the domain and written to the store, through which domains
+//! that cannot reach each other receive them.
 
-mod crash_desk;
+mod crash_broadcast;
 mod crash_document;
 mod crash_follow;
+mod crash_manager;
 mod crash_probe;
-mod crash_spread;
 mod crash_store;
 
-pub(super) use crash_desk::{CrashAdmission, CrashDesk, TrialGuard, admit_request, note_completed};
+pub(super) use crash_broadcast::receive_crash_reports;
 pub(super) use crash_follow::run_crash_follow;
-pub(super) use crash_probe::{SuspectRun, look_for_crash};
-pub(super) use crash_spread::take_notes;
+pub(super) use crash_manager::{
+    CrashAdmission, CrashManager, TrialGuard, admit_request, record_completion,
+};
+pub(super) use crash_probe::{SuspectRun, detect_crash};
 pub(super) use crash_store::run_crash_writer;
--- a/crates/beechsaddle/src/gateway/event_splitter.rs
+++ b/crates/beechsaddle/src/gateway/event_splitter.rs
@@ -1,85 +1,86 @@
-//! The `event_splitter` module provides the events of a stream as they pass.
+//! The `event_splitter` module provides the splitting of a stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event that is waited for, in bytes.
-const EVENT_BYTES: usize = 256 * 1_024;
+/// Maximum size of an event, in bytes.
+const MAX_EVENT_BYTES: usize = 256 * 1_024;
 
-/// What of a stream may go to the caller.
+/// Complete events that may be sent to the caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(super) struct SplitPart {
-    /// Bytes to pass on.
+pub(super) struct CompleteEvents {
+    /// The events' bytes.
     pub(super) bytes: Bytes,
-    /// How many events end in them.
+    /// Number of events in `bytes`.
     pub(super) events: u64,
 }
 
-/// An event that does not end.
+/// An event that exceeds `MAX_EVENT_BYTES`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct EventTooLong;
 
-/// Splits a stream into events.
+/// Splits a stream into complete events.
 ///
-/// A target can break off in the middle of an event. Where another one goes on, what the caller got
-/// must end with a whole event, or the next would be glued to half of the last: so only whole events
-/// are passed on. Events that the caller has already are dropped.
+/// A target can disconnect in the middle of an event. If another target resumes the stream, the
+/// caller's data must end on an event boundary, so only complete events are forwarded. Events that
+/// the caller already has are dropped.
 #[derive(Debug, Default)]
 pub(super) struct EventSplitter {
-    carry: BytesMut,
+    buffer: BytesMut,
     last_event: Option<u64>,
 }
 
 impl EventSplitter {
-    /// A splitter for a caller that has everything up to `last_event`.
+    /// Creates a splitter for a caller that has every event up to `last_event`.
     pub(super) fn new(last_event: Option<u64>) -> Self {
         EventSplitter {
-            carry: BytesMut::new(),
+            buffer: BytesMut::new(),
             last_event,
         }
     }
 
-    /// The last event that was passed on.
+    /// Returns the id of the last forwarded event.
     pub(super) fn last_event(&self) -> Option<u64> {
         self.last_event
     }
 
-    /// Forgets the half of an event that its target did not finish.
+    /// Discards an incomplete event.
     pub(super) fn drop_partial(&mut self) {
-        self.carry.clear();
+        self.buffer.clear();
     }
 
-    /// What came after the last whole event.
+    /// Takes the bytes after the last complete event.
     pub(super) fn take_partial(&mut self) -> Bytes {
-        self.carry.split().freeze()
+        self.buffer.split().freeze()
     }
 
-    /// Takes what was read and gives the whole events.
+    /// Adds bytes read from the target and returns the events that are complete and new to the
+    /// caller.
     ///
     /// # Errors
     ///
-    /// [`EventTooLong`] when an event exceeds the memory set aside for it.
-    pub(super) fn push(&mut self, part: &[u8]) -> Result<SplitPart, EventTooLong> {
-        self.carry.extend_from_slice(part);
+    /// Returns [`EventTooLong`] if an incomplete event exceeds `MAX_EVENT_BYTES`.
+    pub(super) fn push(&mut self, part: &[u8]) -> Result<CompleteEvents, EventTooLong> {
+        self.buffer.extend_from_slice(part);
         let mut passed = BytesMut::new();
         let mut events = 0;
-        while let Some(end) = event_end(&self.carry) {
-            let event = self.carry.split_to(end);
-            if self.take_event(&event) {
+        while let Some(end) = event_end(&self.buffer) {
+            let event = self.buffer.split_to(end);
+            if self.accept_event(&event) {
                 passed.extend_from_slice(&event);
                 events += 1;
             }
         }
-        if self.carry.len() > EVENT_BYTES {
+        if self.buffer.len() > MAX_EVENT_BYTES {
             return Err(EventTooLong);
         }
-        Ok(SplitPart {
+        Ok(CompleteEvents {
             bytes: passed.freeze(),
             events,
         })
     }
 
-    /// Whether an event is new to the caller.
-    fn take_event(&mut self, event: &[u8]) -> bool {
+    /// Returns whether the caller does not have an event yet, and remembers its id if so.
+    fn accept_event(&mut self, event: &[u8]) -> bool {
         let Some(id) = event_id(event) else {
             return true;
         };
@@ -91,7 +92,7 @@
     }
 }
 
-/// Where the first event ends: behind its blank line.
+/// Returns the end of the first event, after its blank line.
 fn event_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for newline in memchr::memchr_iter(b'\n', bytes) {
@@ -104,7 +105,7 @@
     None
 }
 
-/// The number in an event's `id` field.
+/// Returns the number in an event's `id` field.
 fn event_id(event: &[u8]) -> Option<u64> {
     event.split(|byte| *byte == b'\n').find_map(|line| {
         let value = line.strip_prefix(b"id:")?;
--- a/crates/beechsaddle/src/gateway/gateway_process.rs
+++ b/crates/beechsaddle/src/gateway/gateway_process.rs
@@ -18,13 +18,13 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use super::caller_listener::run_listener;
+use super::changes::{follow_kind, run_expiry, run_probes, run_registration};
 use super::clock_desk::run_clock_reading;
 use super::crashes::{run_crash_follow, run_crash_writer};
 use super::escrow_keeper::EscrowKeeper;
 use super::gateway_settings::GatewaySettings;
 use super::gateway_state::{GatewayPhase, GatewayState};
 use super::host_listener::run_host_listener;
-use super::news::{follow_kind, run_expiry, run_probes, run_registration};
 use super::peer_server::run_peer_listener;
 use super::settings_watch::run_settings_watch;
 use super::store_tally::run_store_tally;
--- a/crates/beechsaddle/src/gateway/gateway_state.rs
+++ b/crates/beechsaddle/src/gateway/gateway_state.rs
@@ -14,14 +14,14 @@
 use bytes::Bytes;
 use tokio::sync::{Notify, watch};
 
+use super::changes::{ChangeRelay, StoreHealth};
 use super::clock_desk::ClockDesk;
-use super::crashes::CrashDesk;
+use super::crashes::CrashManager;
 use super::gateway_metrics::{GatewayMetrics, StoreLabel};
 use super::gateway_settings::GatewaySettings;
 use super::ledger_notes::LedgerNotes;
-use super::limits::LimitDesk;
+use super::limits::LimitManager;
 use super::line_budget::LineBudget;
-use super::news::{NewsRelay, StoreHealth};
 use super::store_call::StoreCall;
 use super::store_tally::StoreTally;
 use super::target_pool::TargetPool;
@@ -61,13 +61,13 @@
     /// Tokens borrowed from other routers, and what is known of these.
     pub(super) lending: TokenLending,
     /// Requests that crash targets.
-    pub(super) crashes: CrashDesk,
+    pub(super) crashes: CrashManager,
     /// Places at targets that name limits.
-    pub(super) limits: LimitDesk,
+    pub(super) limits: LimitManager,
     /// What other keepers told of ledgers.
     pub(super) ledger_notes: LedgerNotes,
     /// What the store told, for those that follow this router, and whom this one follows.
-    pub(super) relay: NewsRelay,
+    pub(super) relay: ChangeRelay,
     /// How full the router's own link is.
     pub(super) link: RefCell<LinkMeter>,
     /// Whether the router asks for new callers.
@@ -122,10 +122,10 @@
             roster: RefCell::new(TargetRoster::default()),
             escrow: RefCell::new(TokenEscrow::new(settings.budgets, me.to_string())),
             lending: TokenLending::new(settings.host.clone(), settings.domain.clone()),
-            crashes: CrashDesk::default(),
-            limits: LimitDesk::default(),
+            crashes: CrashManager::default(),
+            limits: LimitManager::default(),
             ledger_notes: LedgerNotes::default(),
-            relay: NewsRelay::default(),
+            relay: ChangeRelay::default(),
             link: RefCell::new(LinkMeter::new(settings.link_mbps, ClockTime::ZERO)),
             rotation: RefCell::default(),
             retries: RefCell::new(RetryShare::new(settings.retries)),
--- a/crates/beechsaddle/src/gateway/peer_link.rs
+++ b/crates/beechsaddle/src/gateway/peer_link.rs
@@ -24,8 +24,8 @@
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 use tokio_util::task::AbortOnDropHandle;
 
-use super::limits::PlaceQuestion;
-use super::news::{FollowAnswer, FollowReply};
+use super::changes::{FollowAnswer, FollowReply};
+use super::limits::PermitRequest;
 use super::peer_codec::{time_before, write_note};
 
 /// How long connecting to a router may take: some hundred round trips of a region.
@@ -257,7 +257,7 @@
         peer: &PeerRecord,
         secret: &str,
         now: ClockTime,
-        question: &PlaceQuestion,
+        question: &PermitRequest,
     ) -> Result<PermitReply, String> {
         let link = self.open(peer).await?;
         let mut call = link.limit_share().take_place_request();
--- a/crates/beechsaddle/src/gateway/peer_server.rs
+++ b/crates/beechsaddle/src/gateway/peer_server.rs
@@ -20,11 +20,11 @@
 use tokio::task::spawn_local;
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-use super::crashes::take_notes;
+use super::changes::{FollowReply, serve_follow};
+use super::crashes::receive_crash_reports;
 use super::gateway_state::GatewayState;
 use super::ledger_notes::note_ledger;
-use super::limits::{PlaceQuestion, answer_place};
-use super::news::{FollowReply, serve_follow};
+use super::limits::{PermitRequest, answer_permit_request};
 use super::peer_codec::{read_incarnation, read_note, time_before};
 use super::token_lender::lend_tokens;
 
@@ -233,7 +233,7 @@
         for note in parameters.get_notes()?.iter() {
             reports.push(read_note(note, now)?);
         }
-        take_notes(&self.state, reports, parameters.get_is_spread());
+        receive_crash_reports(&self.state, reports, parameters.get_is_spread());
         Ok(())
     }
 }
@@ -247,7 +247,7 @@
         let parameters = parameters.get()?;
         self.check_secret(parameters.get_secret()?)?;
         let now = self.state.now();
-        let question = PlaceQuestion {
+        let question = PermitRequest {
             target: read_incarnation(parameters.get_target()?, parameters.get_started())?,
             limit: TargetLimit {
                 per_s: (!parameters.get_is_free()).then_some(parameters.get_per_s()),
@@ -255,7 +255,7 @@
             },
         };
         let mut answer = results.get();
-        match answer_place(&self.state, &question) {
+        match answer_permit_request(&self.state, &question) {
             PermitReply::Granted => answer.set_outcome(PlaceOutcome::Granted),
             PermitReply::Wait { wait_ms } => {
                 answer.set_outcome(PlaceOutcome::Wait);
--- a/crates/beechsaddle/src/gateway/plain_exchange.rs
+++ b/crates/beechsaddle/src/gateway/plain_exchange.rs
@@ -1,4 +1,5 @@
-//! The `plain_exchange` module provides calls whose answers are short and passed on as a whole.
+//! The `plain_exchange` module provides calls whose responses are short and buffered before they
+//! are forwarded.
 
 use std::time::Duration;
 
@@ -13,27 +14,27 @@
 use super::attempt_guard::AttemptGuard;
 use super::call_context::CallContext;
 use super::call_record::ANSWERED;
-use super::crashes::note_completed;
-use super::target_choice::{choose_place, no_target_cause, note_choice, refuse_call};
+use super::crashes::record_completion;
+use super::target_choice::{choose_permitted_target, no_target_cause, record_choice, refuse_call};
 use super::target_send::{SendFailure, TargetAnswer, send_attempt};
 
-/// The largest plain answer, in bytes. It is read as a whole before anything of it goes out, so
-/// that an answer that breaks off can be asked for again.
-const ANSWER_BYTES: usize = 8 * 1_024 * 1_024;
+/// Maximum size of a plain response, in bytes. It is read completely before any of it is forwarded,
+/// so that a truncated response can be retried.
+const MAX_ANSWER_BYTES: usize = 8 * 1_024 * 1_024;
 
-/// The part of the objective after which a silent target of an idempotent call is given up while
-/// another could still answer in time.
-const PATIENCE_PART: f64 = 0.55;
+/// Share of the route's objective after which an idempotent call abandons a silent target while
+/// another target can still answer in time.
+const WAIT_LIMIT_SHARE: f64 = 0.55;
 
-/// How much longer than a target's usual wait it is given, so that a loaded service is not asked
-/// twice for everything.
-const PATIENCE_FACTOR: f64 = 3.0;
+/// Multiple of a target's usual response time that it is allowed at least, so that a loaded service
+/// does not receive every request twice.
+const WAIT_LIMIT_FACTOR: f64 = 3.0;
 
-/// The shortest time that a target is given, in milliseconds.
-const PATIENCE_LEAST_MS: f64 = 40.0;
+/// Minimum time that a target is allowed, in milliseconds.
+const MIN_WAIT_LIMIT_MS: f64 = 40.0;
 
-/// A whole answer of a target.
-struct WholeAnswer {
+/// A target's complete response.
+struct BufferedAnswer {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
@@ -41,16 +42,15 @@
     is_misdirected: bool,
 }
 
-/// Serves a call.
 pub(super) async fn serve_plain(call: &CallContext) -> Response<AnswerBody> {
     let mut last_answer = None;
     let cause = loop {
-        let Some((choice, target)) = choose_place(call).await else {
+        let Some((choice, target)) = choose_permitted_target(call).await else {
             break no_target_cause(call);
         };
-        note_choice(call, &choice);
+        record_choice(call, &choice);
         let (end, detail) = match run_attempt(call, &choice, &target).await {
-            Ok(answer) if answer.end.is_none() => return pass_on(call, answer),
+            Ok(answer) if answer.end.is_none() => return forward_answer(call, answer),
             Ok(answer) => {
                 let end = answer.end.unwrap_or(AttemptEnd::Failed);
                 let detail = format!("status {}", answer.status);
@@ -59,14 +59,14 @@
             }
             Err(failure) => (failure.end, failure.detail),
         };
-        call.note_end(&target, end, &detail);
+        call.record_attempt_end(&target, end, &detail);
         if !call.try_repeat(end) {
             break call.final_cause(end);
         }
     };
-    // A target's own failure is its answer to the caller, where nothing better came.
+    // If no attempt did better, the caller gets the target's own error response.
     match last_answer {
-        Some(answer) if answer.end == Some(AttemptEnd::Failed) => pass_on(call, answer),
+        Some(answer) if answer.end == Some(AttemptEnd::Failed) => forward_answer(call, answer),
         Some(_) | None => refuse_call(call, cause, "no target gave a usable answer"),
     }
 }
@@ -75,27 +75,27 @@
     call: &CallContext,
     choice: &TargetChoice,
     target: &TargetRecord,
-) -> Result<WholeAnswer, SendFailure> {
+) -> Result<BufferedAnswer, SendFailure> {
     let mut guard = AttemptGuard::start(&call.state, target.clone(), choice.load, call.fingerprint);
-    let outcome = exchange(call, target, patience(call, target)).await;
+    let outcome = exchange(call, target, wait_limit(call, target)).await;
     match &outcome {
         Ok(answer) => match answer.end {
             Some(end) => {
                 if answer.is_misdirected {
-                    guard.note_misdirected();
+                    guard.record_misdirected();
                 }
-                guard.note_end(end);
-                guard.look_for_crash(end).await;
+                guard.record_failure(end);
+                guard.detect_crash(end).await;
             }
             None => {
-                guard.record_first();
-                guard.note_success();
-                note_completed(&call.state, call.fingerprint);
+                guard.record_first_event();
+                guard.record_success();
+                record_completion(&call.state, call.fingerprint);
             }
         },
         Err(failure) => {
-            guard.note_end(failure.end);
-            guard.look_for_crash(failure.end).await;
+            guard.record_failure(failure.end);
+            guard.detect_crash(failure.end).await;
         }
     }
     outcome
@@ -104,11 +104,11 @@
 async fn exchange(
     call: &CallContext,
     target: &TargetRecord,
-    patience: Duration,
-) -> Result<WholeAnswer, SendFailure> {
+    wait_limit: Duration,
+) -> Result<BufferedAnswer, SendFailure> {
     let started = tokio::time::Instant::now();
-    let answer = send_attempt(call, target, None, None, patience).await?;
-    let left = patience.saturating_sub(started.elapsed());
+    let answer = send_attempt(call, target, None, None, wait_limit).await?;
+    let left = wait_limit.saturating_sub(started.elapsed());
     let TargetAnswer {
         response,
         facts,
@@ -133,7 +133,7 @@
         status if status.is_server_error() => Some(AttemptEnd::Failed),
         _ => None,
     };
-    Ok(WholeAnswer {
+    Ok(BufferedAnswer {
         status: parts.status,
         headers: parts.headers,
         body,
@@ -143,20 +143,21 @@
 }
 
 async fn read_body(body: hyper::body::Incoming, left: Duration) -> Result<Bytes, SendFailure> {
-    let reading = Limited::new(body, ANSWER_BYTES).collect();
+    let reading = Limited::new(body, MAX_ANSWER_BYTES).collect();
     match timeout(left, reading).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) => Err(SendFailure::new(AttemptEnd::Broken, error.to_string())),
         Err(_) => Err(SendFailure::new(
             AttemptEnd::Silent,
-            "the answer did not end in time",
+            "timed out reading the response body",
         )),
     }
 }
 
-/// How long a target may take: all that is left, unless another could answer in time instead.
-fn patience(call: &CallContext, target: &TargetRecord) -> Duration {
-    let left = call.left();
+/// Returns how long to wait for a target: all the remaining time, unless another target could still
+/// answer in time.
+fn wait_limit(call: &CallContext, target: &TargetRecord) -> Duration {
+    let left = call.remaining();
     let mut after = call.history.borrow().clone();
     after.note(AttemptEnd::Silent);
     if !after.allows_another(call.route.kind, call.route.attempts_max) {
@@ -168,26 +169,27 @@
         .and_then(|entry| entry.stats.speed_ms(call.state.now()))
         .unwrap_or(0.0);
     let objective_ms = call.route.objective_ms as f64;
-    let patience_ms = (objective_ms * PATIENCE_PART)
-        .max(usual_ms * PATIENCE_FACTOR)
-        .max(PATIENCE_LEAST_MS);
-    left.min(Duration::from_millis(patience_ms as u64))
+    let wait_limit_ms = (objective_ms * WAIT_LIMIT_SHARE)
+        .max(usual_ms * WAIT_LIMIT_FACTOR)
+        .max(MIN_WAIT_LIMIT_MS);
+    left.min(Duration::from_millis(wait_limit_ms as u64))
 }
 
-fn pass_on(call: &CallContext, answer: WholeAnswer) -> Response<AnswerBody> {
-    call.record.note("status", answer.status.as_u16());
-    call.record.record_first();
-    call.record.end(match answer.status.is_server_error() {
-        true => "target_failed",
-        false => {
-            call.record.note_lateness(&call.route);
-            ANSWERED
-        }
-    });
+fn forward_answer(call: &CallContext, answer: BufferedAnswer) -> Response<AnswerBody> {
+    call.record.add_field("status", answer.status.as_u16());
+    call.record.record_first_event();
+    call.record
+        .set_outcome(match answer.status.is_server_error() {
+            true => "target_failed",
+            false => {
+                call.record.record_lateness(&call.route);
+                ANSWERED
+            }
+        });
     for way in [LinkDirection::In, LinkDirection::Out] {
         call.state.record_message(way, &answer.body);
     }
-    let mut response = Response::new(AnswerBody::whole(answer.body));
+    let mut response = Response::new(AnswerBody::full(answer.body));
     *response.status_mut() = answer.status;
     *response.headers_mut() = answer_headers(&answer.headers);
     if call.method != Method::HEAD {
--- a/crates/beechsaddle/src/gateway/refusal.rs
+++ b/crates/beechsaddle/src/gateway/refusal.rs
@@ -1,4 +1,4 @@
-//! The `refusal` module provides the router's own final answers.
+//! The `refusal` module provides the final responses that the router itself generates.
 
 use beechsaddle_platform::{RefusalHead, RefusalKind};
 use http::Response;
@@ -7,53 +7,52 @@
 
 use super::answer_body::AnswerBody;
 
-/// Why the router answers by itself. Each has its own counter.
+/// Why the router itself answers a call. Each cause has its own counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub(super) enum RefusalCause {
-    /// The head cannot be used.
+    /// The request's head is invalid.
     BadHead,
-    /// No route takes the request.
+    /// No route matches the request.
     UnknownRoute,
-    /// No workspace has the key.
+    /// No workspace has the caller's key.
     UnknownKey,
-    /// The body is too large.
     BodyTooLarge,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     BodyTimeout,
-    /// The workspace's total does not cover the request.
+    /// The workspace's remaining tokens do not cover the request.
     BudgetExhausted,
-    /// The router holds too few tokens, and the ledger did not give more in time.
+    /// The router holds too few tokens, and the ledger did not supply more in time.
     BudgetUnreachable,
-    /// Targets crash under the request.
+    /// Targets crash when they run the request.
     CrashesTargets,
-    /// No configuration is known yet.
+    /// The router has not received a configuration yet.
     NoConfig,
-    /// The router's own link is full, and changes of targets come late over it.
+    /// The router's own link is saturated, and changes of targets arrive late over it.
     LinkFull,
-    /// The service has no target.
     NoTarget,
     /// No target could be reached; nothing was sent.
     TargetsUnreachable,
-    /// Targets said that they did not run the request.
+    /// Targets reported that they did not run the request.
     TargetsFull,
-    /// All targets of the service have got what they take for now.
+    /// All targets of the service have reached their rate limits.
     TargetsLimited,
-    /// The caller's time is over before anything was sent.
+    /// The caller's deadline passed before anything was sent.
     TooLate,
-    /// A target may have run the request, and gave no usable answer.
+    /// A target may have run the request but gave no usable response.
     OutcomeUnknown,
-    /// A target may be running the request, and the time is over.
+    /// The deadline passed while a target may still be running the request.
     TimedOut,
 }
 
-/// When to come back where targets are full, in milliseconds: engines and services take new work
-/// several times in this span.
+/// Retry delay when targets are full, in milliseconds: engines and services accept new work several
+/// times in this span.
 const FULL_RETRY_MS: u64 = 150;
-/// When to come back where something is missing that returns within about a second.
-const AWAY_RETRY_MS: u64 = 400;
+/// Retry delay when something is missing that usually recovers within about a second, in
+/// milliseconds.
+const OUTAGE_RETRY_MS: u64 = 400;
 
 impl RefusalCause {
-    /// What the caller is told.
+    /// Returns the status and retry delay to send to the caller.
     pub(super) fn head(self) -> RefusalHead {
         let (kind, retry_after_ms) = match self {
             RefusalCause::BadHead => (RefusalKind::BadRequest, None),
@@ -70,7 +69,7 @@
             | RefusalCause::CrashesTargets
             | RefusalCause::TargetsLimited
             | RefusalCause::TargetsUnreachable
-            | RefusalCause::TooLate => (RefusalKind::NotRun, Some(AWAY_RETRY_MS)),
+            | RefusalCause::TooLate => (RefusalKind::NotRun, Some(OUTAGE_RETRY_MS)),
             RefusalCause::OutcomeUnknown => (RefusalKind::OutcomeUnknown, None),
             RefusalCause::TimedOut => (RefusalKind::TimedOut, None),
         };
@@ -80,7 +79,7 @@
         }
     }
 
-    /// A word for logs and answers.
+    /// Returns the cause's name in logs and response bodies.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             RefusalCause::BadHead => "bad_head",
@@ -103,12 +102,12 @@
         }
     }
 
-    /// The whole answer.
+    /// Builds the response.
     pub(super) fn response(self, message: &str) -> Response<AnswerBody> {
         self.response_with(self.head(), message)
     }
 
-    /// The whole answer, where it is known when to come back.
+    /// Builds the response with a known retry delay.
     pub(super) fn response_after(self, retry_ms: u64, message: &str) -> Response<AnswerBody> {
         let head = RefusalHead {
             retry_after_ms: Some(retry_ms),
@@ -119,7 +118,7 @@
 
     fn response_with(self, head: RefusalHead, message: &str) -> Response<AnswerBody> {
         let body = serde_json::json!({"error": {"reason": self.as_str(), "message": message}});
-        let mut response = head.response(AnswerBody::whole(body.to_string()));
+        let mut response = head.response(AnswerBody::full(body.to_string()));
         let json = HeaderValue::from_static("application/json");
         response.headers_mut().insert(CONTENT_TYPE, json);
         response
--- a/crates/beechsaddle/src/gateway/stream_exchange.rs
+++ b/crates/beechsaddle/src/gateway/stream_exchange.rs
@@ -1,4 +1,4 @@
-//! The `stream_exchange` module provides calls that are answered by streams of events.
+//! The `stream_exchange` module provides calls that are answered by event streams.
 
 use std::rc::Rc;
 
@@ -15,34 +15,30 @@
 use super::call_context::CallContext;
 use super::refusal::RefusalCause;
 use super::stream_relay::{StallWatch, StreamAttempt, StreamRelay};
-use super::target_choice::{choose_place, no_target_cause, note_choice, refuse_call};
+use super::target_choice::{choose_permitted_target, no_target_cause, record_choice, refuse_call};
 use super::target_send::{SendFailure, TargetAnswer, send_attempt};
 use super::token_reservation::TokenReservation;
 
-/// The largest failure that is passed on, in bytes.
-const FAILURE_BYTES: usize = 1_024 * 1_024;
+/// Maximum size of an error response that is forwarded, in bytes.
+const MAX_FAILURE_BYTES: usize = 1_024 * 1_024;
 
-/// A stream whose head has come.
+/// A stream whose response head has arrived.
 pub(super) struct OpenStream {
-    /// The headers of its answer.
     pub(super) headers: HeaderMap,
-    /// The status of its answer.
     pub(super) status: StatusCode,
-    /// Its target and body.
+    /// The target's attempt and response body.
     pub(super) attempt: StreamAttempt,
 }
 
-/// What came of the search for a stream.
+/// The result of trying to open a stream.
 pub(super) enum StreamOpening {
-    /// A stream.
     Open(Box<OpenStream>),
-    /// A target's own failure, to be passed on.
+    /// A target's own error response, to be forwarded.
     Failed(Response<AnswerBody>),
-    /// Nothing usable.
+    /// No target gave a usable response.
     Refused(RefusalCause),
 }
 
-/// Serves a call.
 pub(super) async fn serve_stream(
     call: Rc<CallContext>,
     reservation: Option<TokenReservation>,
@@ -54,17 +50,17 @@
                 status,
                 attempt,
             } = *open;
-            call.record.note("status", status.as_u16());
+            call.record.add_field("status", status.as_u16());
             let relay = StreamRelay::new(Rc::clone(&call), reservation, attempt);
-            let mut response = Response::new(AnswerBody::Parts(relay.into_parts()));
+            let mut response = Response::new(AnswerBody::Streamed(relay.into_stream()));
             *response.status_mut() = status;
             *response.headers_mut() = answer_headers(&headers);
             response.headers_mut().remove(CONTENT_LENGTH);
             response
         }
         StreamOpening::Failed(response) => {
-            call.record.note("status", response.status().as_u16());
-            call.record.end("target_failed");
+            call.record.add_field("status", response.status().as_u16());
+            call.record.set_outcome("target_failed");
             response
         }
         StreamOpening::Refused(cause) => {
@@ -73,7 +69,7 @@
     }
 }
 
-/// Looks for a target that streams the answer from behind `last_event` on.
+/// Opens a stream at some target, starting after `last_event`.
 pub(super) async fn open_stream(
     call: &CallContext,
     last_event: Option<u64>,
@@ -81,13 +77,13 @@
 ) -> StreamOpening {
     let mut failure = None;
     loop {
-        let Some((choice, target)) = choose_place(call).await else {
+        let Some((choice, target)) = choose_permitted_target(call).await else {
             return failure.map_or_else(
                 || StreamOpening::Refused(no_target_cause(call)),
                 StreamOpening::Failed,
             );
         };
-        note_choice(call, &choice);
+        record_choice(call, &choice);
         if let Some(reservation) = reservation {
             reservation.begin_attempt();
         }
@@ -100,7 +96,7 @@
             }
             Err(failure) => (failure.end, failure.detail),
         };
-        call.note_end(&target, end, &detail);
+        call.record_attempt_end(&target, end, &detail);
         if let Some(reservation) = reservation
             && !call.history.borrow().may_have_run()
         {
@@ -129,16 +125,17 @@
     let guard = AttemptGuard::start(&call.state, target.clone(), choice.load, call.fingerprint);
     let outcome = exchange(call, &guard, last_event, &choice).await;
     match outcome {
-        Ok(answer) => sort_answer(call, guard, answer).await,
+        Ok(answer) => classify_answer(call, guard, answer).await,
         Err(failure) => {
-            guard.note_end(failure.end);
-            guard.look_for_crash(failure.end).await;
+            guard.record_failure(failure.end);
+            guard.detect_crash(failure.end).await;
             Err(failure)
         }
     }
 }
 
-/// Sends the call and waits for the head. While others hear from the target, it is only slow.
+/// Sends the call and waits for the response head. A target that still sends data to other calls
+/// counts as slow, not dead.
 async fn exchange(
     call: &CallContext,
     guard: &AttemptGuard,
@@ -150,21 +147,24 @@
         guard.target(),
         last_event,
         choice.fetch_from,
-        call.left()
+        call.remaining()
     ));
-    let stall = StallWatch::first(call, choice.load.prefill_tokens);
+    let stall = StallWatch::for_first_event(call, choice.load.prefill_tokens);
     loop {
-        match timeout(stall.pause(call), &mut sending).await {
+        match timeout(stall.poll_interval(call), &mut sending).await {
             Ok(answer) => return answer,
-            Err(_) if stall.is_over(call, guard) => {
-                return Err(SendFailure::new(AttemptEnd::Silent, "no head of an answer"));
+            Err(_) if stall.is_expired(call, guard) => {
+                return Err(SendFailure::new(
+                    AttemptEnd::Silent,
+                    "target sent no response head in time",
+                ));
             }
             Err(_) => {}
         }
     }
 }
 
-async fn sort_answer(
+async fn classify_answer(
     call: &CallContext,
     guard: AttemptGuard,
     answer: TargetAnswer,
@@ -172,15 +172,18 @@
     let facts = &answer.facts;
     if facts.is_not_run {
         if facts.is_misdirected {
-            guard.note_misdirected();
+            guard.record_misdirected();
         }
-        guard.note_end(AttemptEnd::NotRun);
+        guard.record_failure(AttemptEnd::NotRun);
         let detail = format!("status {}", facts.status);
         return Err(SendFailure::new(AttemptEnd::NotRun, detail));
     }
     if !facts.is_sealed || facts.is_encoded {
-        guard.note_end(AttemptEnd::Broken);
-        return Err(SendFailure::new(AttemptEnd::Broken, "an unsealed answer"));
+        guard.record_failure(AttemptEnd::Broken);
+        return Err(SendFailure::new(
+            AttemptEnd::Broken,
+            "response is unsealed or encoded",
+        ));
     }
     if facts.status.is_success() {
         let (parts, body) = answer.response.into_parts();
@@ -190,27 +193,27 @@
             attempt: StreamAttempt::new(guard, answer.link, body, answer.facts),
         })));
     }
-    guard.note_end(AttemptEnd::Failed);
+    guard.record_failure(AttemptEnd::Failed);
     read_failure(call, answer.response)
         .await
         .map(AttemptAnswer::Failure)
 }
 
-/// Reads a target's own failure as a whole.
+/// Buffers a target's own error response.
 async fn read_failure(
     call: &CallContext,
     response: Response<Incoming>,
 ) -> Result<Response<AnswerBody>, SendFailure> {
     let (parts, body) = response.into_parts();
-    let reading = Limited::new(body, FAILURE_BYTES).collect();
-    let body = match timeout(call.left(), reading).await {
-        Ok(Ok(whole)) => whole.to_bytes(),
+    let reading = Limited::new(body, MAX_FAILURE_BYTES).collect();
+    let body = match timeout(call.remaining(), reading).await {
+        Ok(Ok(collected)) => collected.to_bytes(),
         Ok(Err(error)) => {
             return Err(SendFailure::new(AttemptEnd::Broken, error.to_string()));
         }
-        Err(_) => return Err(SendFailure::new(AttemptEnd::Silent, "half a failure")),
+        Err(_) => return Err(SendFailure::new(AttemptEnd::Silent, "error body timed out")),
     };
-    let mut response = Response::new(AnswerBody::whole(body));
+    let mut response = Response::new(AnswerBody::full(body));
     *response.status_mut() = parts.status;
     *response.headers_mut() = answer_headers(&parts.headers);
     response.headers_mut().remove(CONTENT_LENGTH);
--- a/crates/beechsaddle/src/gateway/target_choice.rs
+++ b/crates/beechsaddle/src/gateway/target_choice.rs
@@ -1,33 +1,36 @@
-//! The `target_choice` module provides the choice of a target for a call, and the answer where there is none.
+//! The `target_choice` module provides the choice of a target for a call, and the refusal if there
+//! is none.
 
 use beechsaddle_core::gateway::{ChoiceInput, TargetChoice, TargetRecord, choose_target};
 use http::Response;
 
 use super::answer_body::AnswerBody;
 use super::call_context::CallContext;
-use super::limits::ask_place;
+use super::limits::request_permit;
 use super::refusal::RefusalCause;
 
-/// Chooses a target, and asks for a place where it has a limit. While there is none the target is left out, so that
-/// the next choice is another one; `None` where no target is left.
-pub(super) async fn choose_place(call: &CallContext) -> Option<(TargetChoice, TargetRecord)> {
+/// Chooses a target and, if it has a rate limit, obtains a permit for it. A target without a permit
+/// is excluded for a while, so that the next choice differs. Returns `None` if no target is left.
+pub(super) async fn choose_permitted_target(
+    call: &CallContext,
+) -> Option<(TargetChoice, TargetRecord)> {
     loop {
         let (choice, target) = choose(call)?;
-        if ask_place(&call.state, &target).await {
+        if request_permit(&call.state, &target).await {
             return Some((choice, target));
         }
         let fields = [("target", target.name.to_string())];
-        call.record.decide("place_refused", fields);
-        if call.left_ms() == 0 {
+        call.record.log_decision("place_refused", fields);
+        if call.remaining_ms() == 0 {
             return None;
         }
     }
 }
 
-/// Chooses a target among those that were not tried; when all were, among all.
+/// Chooses a target among those that were not tried yet, or among all once every one was tried.
 fn choose(call: &CallContext) -> Option<(TargetChoice, TargetRecord)> {
     let state = &call.state;
-    // Its link may have filled up while the call waited or was tried.
+    // The router's link may have become saturated while the call waited or was tried.
     if state.is_behind_full_link() {
         return None;
     }
@@ -47,35 +50,35 @@
         suspect: suspect.as_deref(),
         policy: settings.policy,
     };
-    let again = ChoiceInput {
+    let retry_input = ChoiceInput {
         tried: &[],
         ..input
     };
     let now = state.now();
     let choice =
-        choose_target(&roster, now, input).or_else(|| choose_target(&roster, now, again))?;
+        choose_target(&roster, now, input).or_else(|| choose_target(&roster, now, retry_input))?;
     let record = roster.get(&choice.target)?.record.clone();
     Some((choice, record))
 }
 
-/// Why there is no target to send to.
+/// Returns why there is no target to send to.
 pub(super) fn no_target_cause(call: &CallContext) -> RefusalCause {
     match call.history.borrow().may_have_run() {
         true => RefusalCause::OutcomeUnknown,
         false if call.state.is_behind_full_link() => RefusalCause::LinkFull,
-        false if least_pause_ms(call).is_some() => RefusalCause::TargetsLimited,
+        false if shortest_pause_ms(call).is_some() => RefusalCause::TargetsLimited,
         false => RefusalCause::NoTarget,
     }
 }
 
-/// The router's own final answer to a call that no target answers.
+/// Refuses a call that no target answered.
 pub(super) fn refuse_call(
     call: &CallContext,
     cause: RefusalCause,
     message: &str,
 ) -> Response<AnswerBody> {
-    call.record.refuse(cause);
-    match least_pause_ms(call) {
+    call.record.record_refusal(cause);
+    match shortest_pause_ms(call) {
         Some(pause_ms) if cause == RefusalCause::TargetsLimited => {
             cause.response_after(pause_ms, message)
         }
@@ -83,12 +86,12 @@
     }
 }
 
-/// Notes where a call goes and why.
-pub(super) fn note_choice(call: &CallContext, choice: &TargetChoice) {
-    call.record.note("target", &choice.target);
-    call.record.note("cost", choice.cost as u64);
-    call.record.note("home", choice.is_affinity_target);
-    call.record.note("of", choice.candidates);
+/// Records the chosen target and the reasons.
+pub(super) fn record_choice(call: &CallContext, choice: &TargetChoice) {
+    call.record.add_field("target", &choice.target);
+    call.record.add_field("cost", choice.cost as u64);
+    call.record.add_field("home", choice.is_affinity_target);
+    call.record.add_field("of", choice.candidates);
     let target = &choice.target;
     let roster = call.state.roster.borrow();
     let active = roster.get(target).map(|entry| entry.stats.active);
@@ -100,13 +103,13 @@
         ("active", active.unwrap_or(0).to_string()),
         ("store_age_ms", call.state.store_age_ms().to_string()),
     ];
-    call.record.decide("call_placed", fields);
-    call.record.note_sent();
+    call.record.log_decision("call_placed", fields);
+    call.record.record_attempt_start();
 }
 
-/// When the first target of the call's service takes a request again, in milliseconds; `None` where none of them
-/// is left out for its limit.
-fn least_pause_ms(call: &CallContext) -> Option<u64> {
+/// Returns the time until the first rate-limited target of the service accepts a request again, in
+/// milliseconds; `None` if no target is excluded for its limit.
+fn shortest_pause_ms(call: &CallContext) -> Option<u64> {
     let now = call.state.now();
     let roster = call.state.roster.borrow();
     let paused = roster
--- a/crates/beechsaddle/src/gateway/target_pool.rs
+++ b/crates/beechsaddle/src/gateway/target_pool.rs
@@ -1,4 +1,4 @@
-//! The `target_pool` module provides idle connections to targets.
+//! The `target_pool` module provides the pool of idle connections to targets.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,36 +7,35 @@
 use beechsaddle_core::prelude::*;
 use beechsaddle_link::HttpLink;
 
-/// Idle connections kept to each target: more than a router has at a time towards one at the rates
-/// that a target bears.
-const LINKS_EACH: usize = 12;
+/// Maximum idle connections per target: more than a router uses at once at the rates a target can
+/// handle.
+const MAX_IDLE_LINKS: usize = 12;
 
-/// How long an idle connection is used where its target does not say how long it keeps it, in
-/// milliseconds.
-const SILENT_KEEP_MS: u64 = 400;
+/// Lifetime of an idle connection whose target announces no keep-alive timeout, in milliseconds.
+const DEFAULT_KEEP_ALIVE_MS: u64 = 400;
 
-/// How long before the target's own limit an idle connection is given up, in milliseconds. A request
-/// that meets the close would be lost, and nobody could tell whether it ran.
-const KEEP_MARGIN_MS: u64 = 700;
+/// Margin before the target's keep-alive timeout at which an idle connection is dropped, in
+/// milliseconds. A request that crosses with the close is lost, and whether it ran is unknown.
+const KEEP_ALIVE_MARGIN_MS: u64 = 700;
 
 #[derive(Debug)]
-struct KeptLink {
+struct IdleLink {
     link: HttpLink,
     usable_until: ClockTime,
 }
 
-/// Idle connections, by address.
+/// Idle connections by address.
 #[derive(Debug, Default)]
 pub(super) struct TargetPool {
-    links: RefCell<BTreeMap<SocketAddr, Vec<KeptLink>>>,
+    links: RefCell<BTreeMap<SocketAddr, Vec<IdleLink>>>,
 }
 
 impl TargetPool {
-    /// The connection that was used last, as it is the least likely to be closed.
+    /// Takes the most recently used connection, which is the least likely to be closed.
     pub(super) fn take(&self, now: ClockTime, address: SocketAddr) -> Option<HttpLink> {
         let mut links = self.links.borrow_mut();
-        let kept = links.get_mut(&address)?;
-        while let Some(entry) = kept.pop() {
+        let idle = links.get_mut(&address)?;
+        while let Some(entry) = idle.pop() {
             if now < entry.usable_until && entry.link.is_ready() {
                 return Some(entry.link);
             }
@@ -44,7 +43,7 @@
         None
     }
 
-    /// Keeps a connection whose last answer was whole.
+    /// Returns a connection to the pool after a complete response.
     pub(super) fn put(
         &self,
         now: ClockTime,
@@ -52,31 +51,31 @@
         link: HttpLink,
         keep_alive_ms: Option<u64>,
     ) {
-        let keep_ms = match keep_alive_ms {
-            Some(span) => span.saturating_sub(KEEP_MARGIN_MS),
-            None => SILENT_KEEP_MS,
+        let keep_alive_left_ms = match keep_alive_ms {
+            Some(span) => span.saturating_sub(KEEP_ALIVE_MARGIN_MS),
+            None => DEFAULT_KEEP_ALIVE_MS,
         };
         let mut links = self.links.borrow_mut();
-        let kept = links.entry(address).or_default();
-        if kept.len() < LINKS_EACH && keep_ms > 0 {
-            kept.push(KeptLink {
+        let idle = links.entry(address).or_default();
+        if idle.len() < MAX_IDLE_LINKS && keep_alive_left_ms > 0 {
+            idle.push(IdleLink {
                 link,
-                usable_until: now.plus_ms(keep_ms),
+                usable_until: now.plus_ms(keep_alive_left_ms),
             });
         }
     }
 
-    /// Gives up all connections to an address.
+    /// Drops all connections to an address.
     pub(super) fn forget(&self, address: SocketAddr) {
         self.links.borrow_mut().remove(&address);
     }
 
-    /// Closes connections that are of no more use.
+    /// Drops connections that are expired or closed.
     pub(super) fn prune(&self, now: ClockTime) {
         let mut links = self.links.borrow_mut();
-        for kept in links.values_mut() {
-            kept.retain(|entry| now < entry.usable_until && entry.link.is_ready());
+        for idle in links.values_mut() {
+            idle.retain(|entry| now < entry.usable_until && entry.link.is_ready());
         }
-        links.retain(|_, kept| !kept.is_empty());
+        links.retain(|_, idle| !idle.is_empty());
     }
 }
--- a/crates/beechsaddle/src/gateway/target_send.rs
+++ b/crates/beechsaddle/src/gateway/target_send.rs
@@ -1,4 +1,4 @@
-//! The `target_send` module provides the sending of one attempt.
+//! The `target_send` module provides the sending of one attempt to its target.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,24 +13,23 @@
 use tokio::time::timeout;
 
 use super::call_context::CallContext;
-use super::limits::note_limit;
+use super::limits::record_limit;
 
-/// The head of a target's answer, and the connection that it came on.
+/// The head of a target's response and its connection.
 pub(super) struct TargetAnswer {
-    /// The answer.
     pub(super) response: Response<Incoming>,
-    /// What its head says.
+    /// The parsed response head.
     pub(super) facts: AnswerFacts,
-    /// The connection. It is of no use before the answer's body was read.
+    /// The connection, which can be reused only after the response body was read.
     pub(super) link: HttpLink,
 }
 
-/// An attempt that brought no answer to this call.
+/// An attempt without a response to this call.
 #[derive(Debug)]
 pub(super) struct SendFailure {
-    /// How it ended.
+    /// How the attempt ended.
     pub(super) end: AttemptEnd,
-    /// More words for the log.
+    /// Details for the log.
     pub(super) detail: String,
 }
 
@@ -43,23 +42,23 @@
     }
 }
 
-/// Sends a call to a target and waits for the head of the answer, for `patience` at most.
+/// Sends a call to a target and waits up to `wait_limit` for the response head.
 ///
-/// `last_event` replaces what the caller said it has of a stream.
+/// `last_event` replaces the caller's own `Last-Event-Id`.
 pub(super) async fn send_attempt(
     call: &CallContext,
     target: &TargetRecord,
     last_event: Option<u64>,
     fetch_from: Option<SocketAddr>,
-    patience: Duration,
+    wait_limit: Duration,
 ) -> Result<TargetAnswer, SendFailure> {
     let pooled = call.state.pool.take(call.state.now(), target.address);
     if let Some(link) = pooled {
         let request = build_request(call, target, last_event, fetch_from);
         call.state.record_message(LinkDirection::Out, &call.body);
-        match send_on(call, target, link, request, patience, false).await {
-            // The target closed the idle connection before anything was written; that says nothing
-            // of a new one.
+        match send_on(call, target, link, request, wait_limit, false).await {
+            // The target closed the idle connection before anything was written; a new connection
+            // may still work.
             Err((failure, true)) if failure.end == AttemptEnd::Unsent => {}
             other => return other.map_err(|(failure, _)| failure),
         }
@@ -67,7 +66,7 @@
     let link = connect(target.address).await?;
     let request = build_request(call, target, last_event, fetch_from);
     call.state.record_message(LinkDirection::Out, &call.body);
-    let sent = send_on(call, target, link, request, patience, true).await;
+    let sent = send_on(call, target, link, request, wait_limit, true).await;
     sent.map_err(|(failure, _)| failure)
 }
 
@@ -76,37 +75,41 @@
     connected.map_err(|failure| SendFailure::new(AttemptEnd::Unsent, failure.to_string()))
 }
 
-/// Sends on a connection; the flag of a failure tells that the connection was closed before.
+/// Sends on a connection. The flag of a failure is set if the connection was closed before anything
+/// was written.
 async fn send_on(
     call: &CallContext,
     target: &TargetRecord,
     mut link: HttpLink,
     request: Request<Full<Bytes>>,
-    patience: Duration,
+    wait_limit: Duration,
     is_fresh: bool,
 ) -> Result<TargetAnswer, (SendFailure, bool)> {
     let sent_at = call.state.now();
-    let response = match timeout(patience, link.send(request)).await {
+    let response = match timeout(wait_limit, link.send(request)).await {
         Ok(Ok(response)) => response,
-        Ok(Err(failure)) => return Err(read_failure(&failure)),
+        Ok(Err(failure)) => return Err(convert_failure(&failure)),
         Err(_) => {
-            let failure = SendFailure::new(AttemptEnd::Silent, "no head of an answer in time");
+            let failure = SendFailure::new(
+                AttemptEnd::Silent,
+                "timed out waiting for the response head",
+            );
             return Err((failure, false));
         }
     };
     let facts = AnswerFacts::read(&response);
-    // An answer to an earlier call can lie on a kept connection. Passing it on would give one
-    // caller another's answer; on a new connection nothing else can lie.
-    let is_ours = match &facts.request_id {
+    // A reused connection can hold a stale response to an earlier call; forwarding it would give
+    // one caller another's response. On a new connection there can be none.
+    let is_matching = match &facts.request_id {
         Some(id) => *id == call.head.request_id,
         None => is_fresh && !facts.status.is_success(),
     };
-    if !is_ours {
-        let failure = SendFailure::new(AttemptEnd::Broken, "an answer to another request");
+    if !is_matching {
+        let failure = SendFailure::new(AttemptEnd::Broken, "response lacks the id of this request");
         return Err((failure, false));
     }
     if facts.is_sealed || (facts.is_not_run && !facts.is_misdirected) {
-        note_limit(&call.state, target, facts.limit_per_s, sent_at);
+        record_limit(&call.state, target, facts.limit_per_s, sent_at);
     }
     Ok(TargetAnswer {
         response,
@@ -115,7 +118,7 @@
     })
 }
 
-fn read_failure(failure: &LinkFailure) -> (SendFailure, bool) {
+fn convert_failure(failure: &LinkFailure) -> (SendFailure, bool) {
     let end = match failure.is_unsent() {
         true => AttemptEnd::Unsent,
         false => AttemptEnd::Broken,
@@ -134,7 +137,7 @@
         target: &target.name,
         workspace: call.workspace.as_ref().map(|rule| &rule.name),
         priority: call.rule.is_engine.then(|| call.priority()),
-        deadline_ms: call.left_ms(),
+        deadline_ms: call.remaining_ms(),
         last_event,
         fetch_from,
     };
--- a/crates/beechsaddle/tests/crash_support/mod.rs
+++ b/crates/beechsaddle/tests/crash_support/mod.rs
@@ -1,4 +1,4 @@
-//! Engines that crash and come back, behind routers of several domains.
+//! Engines that crash and restart, behind routers of several domains.
 
 #![allow(dead_code)]
 
@@ -12,34 +12,34 @@
 
 use crate::gateway_support::{GatewayProcess, SETTLE_SPAN, draft, request};
 
-/// What a body holds that ends each engine which runs it.
+/// A body that contains this crashes each engine that runs it.
 pub const CRASH_MARK: &[u8] = b"crash";
 
-/// How long an engine is away after a crash.
-const RESTART_SPAN: Duration = Duration::from_millis(400);
+/// Time until a crashed engine restarts.
+const RESTART_DELAY: Duration = Duration::from_millis(400);
 
-/// How long an engine works before it answers.
+/// Time that an engine takes to answer.
 const WORK_SPAN: Duration = Duration::from_millis(30);
 
-/// Engines of one service, each of which comes back under another id.
+/// Engines of one service, each of which restarts under another id.
 #[derive(Clone)]
 pub struct CrashingEngines {
     store: StoreStandIn,
-    ever: Arc<Mutex<Vec<TargetStandIn>>>,
+    started: Arc<Mutex<Vec<TargetStandIn>>>,
 }
 
 impl CrashingEngines {
-    /// Starts some engines.
+    /// Starts `count` engines.
     pub async fn start(store: &StoreStandIn, count: usize) -> Self {
         let engines = CrashingEngines {
             store: store.clone(),
-            ever: Arc::default(),
+            started: Arc::default(),
         };
         for number in 1..=count {
             let first = TargetStandIn::try_start(&format!("engine-{number}")).await;
             let first = first.expect("an engine");
             engines.list(&first);
-            tokio::spawn(engines.clone().keep_up(first, number));
+            tokio::spawn(engines.clone().restart_on_crash(first, number));
         }
         engines
     }
@@ -53,13 +53,13 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Vec<TargetStandIn>> {
-        self.ever.lock().unwrap_or_else(PoisonError::into_inner)
+        self.started.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn keep_up(self, mut engine: TargetStandIn, number: usize) {
+    async fn restart_on_crash(self, mut engine: TargetStandIn, number: usize) {
         for restart in 1.. {
             engine.crashed().await;
-            sleep(RESTART_SPAN).await;
+            sleep(RESTART_DELAY).await;
             self.store.remove_target(engine.name());
             let name = format!("engine-{number}-{restart}");
             engine = TargetStandIn::try_start_at(&name, engine.address())
@@ -69,32 +69,30 @@
         }
     }
 
-    /// The engines that are up.
-    pub fn up(&self) -> Vec<TargetStandIn> {
-        let ever = self.lock();
-        let up = ever.iter().filter(|engine| !engine.has_crashed());
-        up.cloned().collect()
+    /// Returns the engines that are running.
+    pub fn running(&self) -> Vec<TargetStandIn> {
+        let started = self.lock();
+        let running = started.iter().filter(|engine| !engine.has_crashed());
+        running.cloned().collect()
     }
 
-    /// How many engines have crashed.
+    /// Returns the number of crashes.
     pub fn crash_count(&self) -> usize {
-        let ever = self.lock();
-        ever.iter().filter(|engine| engine.has_crashed()).count()
+        let started = self.lock();
+        started.iter().filter(|engine| engine.has_crashed()).count()
     }
 
-    /// How often a body has reached engines.
+    /// Returns how often a body has reached engines.
     pub fn arrivals(&self, body: &[u8]) -> usize {
-        let ever = self.lock();
-        let runs = ever.iter().flat_map(TargetStandIn::runs);
+        let started = self.lock();
+        let runs = started.iter().flat_map(TargetStandIn::runs);
         runs.filter(|run| run.body == body).count()
     }
 }
 
-/// Routers of two domains before one service of engines.
+/// Routers of two domains in front of one service of engines.
 pub struct CrashFleet {
-    /// The store.
     pub store: StoreStandIn,
-    /// The engines.
     pub engines: CrashingEngines,
     /// Two routers of the domain `north`, one of `south`.
     pub routers: Vec<GatewayProcess>,
@@ -126,8 +124,8 @@
         fleet
     }
 
-    /// Has all routers list addresses at which no other router answers.
-    pub async fn part_routers(&self) {
+    /// Registers addresses at which no router answers, so that the routers cannot reach each other.
+    pub async fn isolate_routers(&self) {
         for host in ["host-1", "host-2", "host-3"] {
             let mut entry = self.store.spec("routers", host).expect("its entry");
             entry["address"] = "127.0.0.1:9".into();
@@ -137,13 +135,13 @@
         sleep(Duration::from_millis(4_500)).await;
     }
 
-    /// Makes a call at one of the routers; `None` where its connection ends without an answer.
+    /// Calls one of the routers; returns `None` if the connection closes without an answer.
     pub async fn call(&self, router: usize, request: &CallRequest) -> Option<CallReply> {
         call(self.routers[router].address, request).await.ok()
     }
 }
 
-/// A stream that may be resumed, with a body.
+/// Returns a request for a resumable stream, with a body.
 pub fn body_request(id: &str, body: &[u8]) -> CallRequest {
     let mut call = request("POST /stream/on/1", id);
     call.tokens = Some((100, 20));
--- a/crates/beechsaddle/tests/gateway_calls.rs
+++ b/crates/beechsaddle/tests/gateway_calls.rs
@@ -44,9 +44,10 @@
     assert!(reply.seal().starts_with("seal-plain-"));
 }
 
-/// Callers send heads without an id, unknown paths and keys, and bodies beyond the limit. Each gets one clear answer; nothing reaches a target and no token is spent.
+/// Guards against forwarding invalid input: a missing id, an unknown path or key, a body over the
+/// limit or a bad token count is refused once, reaches no target and spends no token.
 #[tokio::test]
-async fn bad_input_gets_one_answer_and_reaches_nobody() {
+async fn bad_input_is_refused_and_reaches_no_target() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     let missing_id = CallRequest::new("GET /get/1", "", KEY);
     let wrong_key = CallRequest::new("GET /get/1", "call-2", "no such key");
@@ -71,11 +72,11 @@
     assert_eq!(GatewayBench::arrival_count(&bench.engines), 0);
 }
 
-/// A caller announces two lengths, and hides a second request behind the shorter one. What counts is
-/// the chunked framing (RFC 9112, section 6.3): the target gets that body with one length, and no
-/// second request.
+/// Guards against request smuggling: a request has both `Content-Length` and chunked framing. The
+/// chunked framing counts (RFC 9112, section 6.3), so the target receives one body with one length
+/// and no second request.
 #[tokio::test]
-async fn two_lengths_smuggle_nothing() {
+async fn conflicting_lengths_smuggle_no_request() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     let mut call = request("POST /order/1", "call-1");
     call.more = vec!["Transfer-Encoding: chunked".to_owned()];
@@ -105,8 +106,8 @@
     assert!(!router.is_ready().await);
 }
 
-/// One target answers each call with its own failure. The caller of an idempotent route sees none
-/// of them: the call goes to the other target.
+/// Guards against passing on a failure of one target: a call of an idempotent route is retried at
+/// the other one.
 #[tokio::test]
 async fn idempotent_failed_is_served_by_another() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -118,7 +119,8 @@
     }
 }
 
-/// All targets fail. The caller gets a target's own failure, with its status and signature.
+/// Guards against hiding the targets' failure: if all of them fail, the caller gets a target's own
+/// status and signature.
 #[tokio::test]
 async fn idempotent_failed_everywhere_passes_the_failure_on() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -129,8 +131,8 @@
     assert_eq!(GatewayBench::run_count(&bench.plain), 2);
 }
 
-/// A target takes a call that may run once only, runs it and closes the connection. The caller
-/// must not be told that it did not run, and no other target may get it.
+/// Guards against running a non-repeatable call twice: a target runs it and closes the connection.
+/// The caller must not be told that it did not run, and no other target may receive it.
 #[tokio::test]
 async fn not_repeatable_cut_is_unknown_and_runs_once() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -143,7 +145,8 @@
     assert!(line.contains("outcome=outcome_unknown"), "{line}");
 }
 
-/// All targets say that they do not run the call. The caller is told so and when to come back.
+/// Guards against a refusal without a retry delay: no target runs the call, and the caller is told
+/// so and when to retry.
 #[tokio::test]
 async fn not_repeatable_full_is_refused_as_not_run() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -156,10 +159,10 @@
     assert_eq!(GatewayBench::run_count(&bench.plain), 0);
 }
 
-/// A target answers with the id of another call, or without its signature, or with half of what it
-/// announced. None of these bytes may reach a caller.
+/// Guards against forwarding invalid responses: one with the id of another call, one without a
+/// signature and a truncated one.
 #[tokio::test]
-async fn wrong_answers_reach_nobody() {
+async fn invalid_answers_reach_no_caller() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     let faults = [
         TargetFault::WrongId,
@@ -174,10 +177,10 @@
     }
 }
 
-/// A target sends a second answer behind each first one. It lies on the kept connection when the
-/// next call comes, and must not be taken for that call's answer.
+/// Guards against mixing up responses: a target sends a surplus response after each one, which is
+/// still on the reused connection when the next call is sent.
 #[tokio::test]
-async fn second_answer_reaches_no_later_call() {
+async fn surplus_answer_reaches_no_later_call() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     set_faults(&bench.plain, TargetFault::SecondAnswer);
     for number in 0..20 {
@@ -190,7 +193,7 @@
 }
 
 #[tokio::test]
-async fn connections_to_targets_are_kept() {
+async fn connections_to_targets_are_reused() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     for number in 0..20 {
         bench
@@ -202,8 +205,8 @@
     assert!(made <= 4, "{made} connections for 20 calls in a row");
 }
 
-/// A caller closes its connection while a target works for it. The target sees its connection
-/// close and can stop; the router logs that the caller left.
+/// Guards against work for a caller that has disconnected: the target sees its connection close and
+/// can stop, and the router logs the disconnect.
 #[tokio::test]
 async fn caller_gone_ends_the_targets_work() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -229,8 +232,8 @@
     assert!(line.contains("outcome=caller_gone"), "{line}");
 }
 
-/// One target is silent. An idempotent call is given up there while the other can still answer
-/// within the objective.
+/// Guards against waiting too long for a silent target: an idempotent call is retried while the
+/// other target can still answer within the objective.
 #[tokio::test]
 async fn idempotent_silent_target_is_given_up_early() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -244,10 +247,10 @@
     }
 }
 
-/// A target answers most calls at once and one of them late. The late one is given up and served by
-/// the other target; the first goes on getting calls.
+/// Guards against ejecting a target for one late response: the late call is retried at the other
+/// target, and the first one keeps receiving calls.
 #[tokio::test]
-async fn idempotent_late_answer_ejects_nobody() {
+async fn idempotent_late_answer_ejects_no_target() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     for target in &bench.plain {
         target.set_work(Duration::from_millis(250));
@@ -261,13 +264,14 @@
     assert!(bench.router.log_lines(&["target_ejected"]).is_empty());
 }
 
-/// A target has gone and another has its address, which the store does not tell yet. The first call
-/// is told so and goes elsewhere; the following ones do not try the address again at once.
+/// Guards against repeated calls to a reassigned address: another target has the address of one
+/// that left, and the store does not show it yet. The first call is rejected there and retried
+/// elsewhere; later ones do not use the address again at once.
 #[tokio::test]
-async fn misdirected_address_is_left_alone() {
+async fn misdirected_address_is_not_retried_at_once() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     bench.plain[0].set_fault(TargetFault::Misdirected);
-    // Slow enough that the other address looks the better choice each time.
+    // Slow enough that the other address looks like the better choice each time.
     bench.plain[1].set_work(Duration::from_millis(60));
     for number in 0..10 {
         let call = request(&format!("GET /get/{number}"), &format!("call-{number}"));
--- a/crates/beechsaddle/tests/gateway_crashes.rs
+++ b/crates/beechsaddle/tests/gateway_crashes.rs
@@ -9,15 +9,15 @@
 use crash_support::{CrashFleet, body_request};
 use tokio::time::sleep;
 
-/// How long the fleet has to learn of a third crash.
-const CONTACT_SPAN: Duration = Duration::from_millis(3_000);
+/// Time within which all routers must know of a third crash.
+const PROPAGATION_SPAN: Duration = Duration::from_millis(3_000);
 
-/// How often such a request may still reach targets after that.
-const LATE_MAX: usize = 3;
+/// Maximum number of targets that the request may still reach after that.
+const MAX_LATE_ARRIVALS: usize = 3;
 
 const CRASHING: &[u8] = b"crash";
 
-/// Guards against a request that ends target after target, as it comes again at any router.
+/// Guards against a request that crashes one target after another when it is retried at any router.
 #[tokio::test]
 async fn crashing_request_reaches_few_targets() {
     let fleet = CrashFleet::start(8).await;
@@ -29,7 +29,7 @@
         sleep(Duration::from_millis(100)).await;
     }
     assert!(fleet.engines.crash_count() >= 3);
-    sleep(CONTACT_SPAN).await;
+    sleep(PROPAGATION_SPAN).await;
     let before = fleet.engines.arrivals(CRASHING);
     for round in 6..10 {
         for router in 0..fleet.routers.len() {
@@ -39,11 +39,11 @@
         sleep(Duration::from_millis(500)).await;
     }
     let late = fleet.engines.arrivals(CRASHING) - before;
-    assert!(late <= LATE_MAX, "it reached engines {late} times more");
+    assert!(late <= MAX_LATE_ARRIVALS, "{late} more arrivals at engines");
 }
 
-/// Has a body crash three targets, by way of all routers.
-async fn crash_three(fleet: &CrashFleet) {
+/// Crashes three targets with calls through all routers.
+async fn crash_three_targets(fleet: &CrashFleet) {
     for number in 0..9 {
         let id = format!("first-{number}");
         let router = number % fleet.routers.len();
@@ -55,17 +55,17 @@
     }
 }
 
-/// Guards against a caller who is not told that the request did not run, and who pays for it.
+/// Guards against a refusal that does not say that the request did not run, or that costs tokens.
 #[tokio::test]
 async fn crashing_request_is_refused_before_it_costs_tokens() {
     let fleet = CrashFleet::start(8).await;
-    crash_three(&fleet).await;
+    crash_three_targets(&fleet).await;
     let reply = fleet.call(0, &body_request("again", CRASHING)).await;
     let reply = reply.expect("an answer");
     assert_eq!(reply.status, 503);
     assert!(reply.body.contains("crashes_targets"), "{}", reply.body);
     let retry_s: f64 = reply.headers["retry-after"].parse().expect("seconds");
-    assert!(retry_s > 60.0, "it comes back after {retry_s} s");
+    assert!(retry_s > 60.0, "retry after {retry_s} s");
     let router = &fleet.routers[0];
     assert!(
         router
@@ -80,12 +80,12 @@
     assert_eq!(other.expect("an answer").status, 200);
 }
 
-/// Guards against a router that starts after the crashes and begins to count anew.
+/// Guards against a restarted router that counts crashes from zero.
 #[tokio::test]
-async fn crashing_request_is_refused_by_a_router_that_starts_later() {
+async fn crashing_request_is_refused_by_restarted_router() {
     let mut fleet = CrashFleet::start(8).await;
-    crash_three(&fleet).await;
-    // The others have written what they know by now.
+    crash_three_targets(&fleet).await;
+    // The other routers have written their reports to the store by then.
     sleep(Duration::from_millis(800)).await;
     fleet.routers[2].restart();
     fleet.routers[2].wait_ready().await;
@@ -96,11 +96,12 @@
     assert_eq!(fleet.engines.arrivals(CRASHING), before);
 }
 
-/// Guards against a domain that reaches the store, and no other router, and goes on sending the request.
+/// Guards against a domain that reaches the store but no other router, and keeps sending the
+/// request.
 #[tokio::test]
-async fn crashing_request_is_known_where_no_router_is_reached() {
+async fn crashing_request_is_known_through_the_store() {
     let fleet = CrashFleet::start(8).await;
-    fleet.part_routers().await;
+    fleet.isolate_routers().await;
     for number in 0..12 {
         let id = format!("apart-{number}");
         let router = number % 2;
@@ -116,9 +117,9 @@
     assert_eq!(fleet.engines.arrivals(CRASHING), before);
 }
 
-/// Guards against other callers who are refused, or fail for good, beside a request that crashes targets.
+/// Guards against refusing or failing other requests that run beside one that crashes targets.
 #[tokio::test]
-async fn crashing_request_has_no_other_refused() {
+async fn crashing_request_blocks_no_other_request() {
     let fleet = CrashFleet::start(8).await;
     let (mut answered, mut refused) = (0, Vec::new());
     for number in 0..90 {
@@ -136,11 +137,11 @@
     assert!(answered >= 86, "{answered} of 90 answered");
 }
 
-/// Guards against a popular request that is refused after many of the targets that ran it were killed.
+/// Guards against blocking a popular request after many targets that ran it were killed together.
 #[tokio::test]
-async fn targets_killed_at_once_have_nothing_refused() {
+async fn targets_killed_together_block_no_request() {
     let fleet = CrashFleet::start(6).await;
-    for engine in fleet.engines.up() {
+    for engine in fleet.engines.running() {
         engine.set_work(Duration::from_millis(400));
     }
     let calls = (0..18).map(|number| {
@@ -151,12 +152,16 @@
     });
     let calls: Vec<_> = calls.collect();
     sleep(Duration::from_millis(250)).await;
-    fleet.engines.up().iter().for_each(|engine| engine.crash());
+    fleet
+        .engines
+        .running()
+        .iter()
+        .for_each(|engine| engine.crash());
     for call in calls {
-        // What becomes of those that were cut does not matter here.
+        // The results of the interrupted calls do not matter here.
         let _ = call.await;
     }
-    // The engines are back by then.
+    // The engines have restarted by then.
     sleep(Duration::from_millis(900)).await;
     let mut answered = 0;
     for number in 0..18 {
@@ -172,11 +177,11 @@
     assert!(answered >= 14, "{answered} of 18 answered");
 }
 
-/// Guards against a request that is refused since targets reset its calls, or leave while it runs.
+/// Guards against blocking a request because running targets reset its calls.
 #[tokio::test]
-async fn broken_connections_of_living_targets_are_no_crashes() {
+async fn broken_connections_of_running_targets_are_no_crashes() {
     let fleet = CrashFleet::start(3).await;
-    let engines = fleet.engines.up();
+    let engines = fleet.engines.running();
     engines
         .iter()
         .for_each(|engine| engine.set_fault(TargetFault::Cutting));
@@ -194,11 +199,11 @@
     assert_eq!(reply.expect("an answer").status, 200);
 }
 
-/// Guards against a target that ends as planned and is held against what ran there.
+/// Guards against attributing the planned exit of a draining target to a request that ran there.
 #[tokio::test]
-async fn leaving_target_that_ends_is_no_crash() {
+async fn exit_of_draining_target_is_no_crash() {
     let fleet = CrashFleet::start(1).await;
-    let engine = fleet.engines.up().remove(0);
+    let engine = fleet.engines.running().remove(0);
     engine.set_work(Duration::from_millis(600));
     let running = body_request("running", b"harmless");
     let address = fleet.routers[0].address;
@@ -210,17 +215,18 @@
         .put_target(&engine, "engine", "north", EntryState::Draining);
     fleet.routers[0].wait_log(&["target_draining"]).await;
     engine.crash();
-    // How the call ends does not matter here.
+    // The result of the call does not matter here.
     let _ = call.await;
     assert!(fleet.routers[0].log_lines(&["target_crashed"]).is_empty());
 }
 
-/// Guards against routers that each try such a request once, as they all get it at the same moment, again and again.
+/// Guards against routers that each try the request once because they all receive it at the same
+/// moment, in every burst.
 #[tokio::test]
 async fn crashing_request_in_bursts_reaches_few_targets() {
     let fleet = CrashFleet::start(8).await;
     send_burst(&fleet, 0).await;
-    sleep(CONTACT_SPAN).await;
+    sleep(PROPAGATION_SPAN).await;
     let before = fleet.engines.arrivals(CRASHING);
     for burst in 1..4 {
         send_burst(&fleet, burst).await;
@@ -228,10 +234,10 @@
     }
     let late = fleet.engines.arrivals(CRASHING) - before;
     assert!(before >= 3);
-    assert!(late <= LATE_MAX, "it reached engines {late} times more");
+    assert!(late <= MAX_LATE_ARRIVALS, "{late} more arrivals at engines");
 }
 
-/// Has each router called three times at the same moment.
+/// Calls each router three times at the same moment.
 async fn send_burst(fleet: &CrashFleet, burst: usize) {
     let calls = (0..9).map(|number| {
         let request = body_request(&format!("burst-{burst}-{number}"), CRASHING);
@@ -239,7 +245,7 @@
         tokio::spawn(async move { beechsaddle_platform_stand_in::call(address, &request).await })
     });
     for call in calls.collect::<Vec<_>>() {
-        // What a caller of such a body gets does not matter here.
+        // The responses do not matter here.
         let _ = call.await;
     }
 }
--- a/crates/beechsaddle/tests/gateway_logs.rs
+++ b/crates/beechsaddle/tests/gateway_logs.rs
@@ -1,4 +1,5 @@
-//! Tests of what an engineer on call finds: the lines of a failed call, and the metrics.
+//! Tests of what an engineer on call needs to find: the log lines of a failed call, and the
+//! metrics.
 
 mod gateway_support;
 
@@ -15,10 +16,10 @@
     call
 }
 
-/// A caller complains that its call was refused for its budget. From the id one line gives the
-/// workspace, what was asked and how long it waited; the workspace leads to what was taken when.
+/// Guards against a budget refusal that cannot be traced: the call's id leads to one line with the
+/// workspace, the tokens requested and the wait, and the workspace leads to what was taken when.
 #[tokio::test]
-async fn refused_for_budget_leads_to_the_ledger() {
+async fn budget_refusal_is_traceable_to_the_ledger() {
     let bench = GatewayBench::start(&draft(1, 10_000)).await;
     for number in 0..6 {
         let id = format!("complaint-{number}");
@@ -36,10 +37,10 @@
     assert!(line.contains("taken="), "{line}");
 }
 
-/// A caller complains that its stream broke off. Its lines give each target, what happened there
-/// and after how many events, and why nothing went on.
+/// Guards against a broken stream that cannot be traced: its lines name each target, what happened
+/// there, after how many events, and why the stream was not resumed.
 #[tokio::test]
-async fn broken_stream_leads_to_its_targets() {
+async fn broken_stream_is_traceable_to_its_targets() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     for target in &bench.engines {
         target.set_events(9, std::time::Duration::from_millis(2));
@@ -58,10 +59,10 @@
     assert_eq!(resumed.len(), 1, "{resumed:?}");
 }
 
-/// A caller asks what became of a call that may run once only. Its lines name the one target that
-/// may have run it, and what came from there.
+/// Guards against an unknown outcome that cannot be traced: the lines of a non-repeatable call name
+/// the one target that may have run it, and the failure there.
 #[tokio::test]
-async fn unknown_outcome_leads_to_the_target() {
+async fn unknown_outcome_is_traceable_to_the_target() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     for target in &bench.plain {
         target.set_fault(TargetFault::Cutting);
@@ -79,10 +80,10 @@
     assert!(ends[0].contains("target=plain-"), "{}", ends[0]);
 }
 
-/// An engineer follows one answered call. Each decision has a line with the call's id, in order: what
-/// it was admitted by, its tokens and how old the knowledge of the total was, and where it was sent.
+/// Guards against missing decisions: an answered call logs its admission, its tokens with the age
+/// of the ledger copy, and its target, in order and each with the call's id.
 #[tokio::test]
-async fn decisions_of_a_call_stand_in_order() {
+async fn decisions_of_a_call_are_logged_in_order() {
     let bench = GatewayBench::start(&draft(3, AMPLE)).await;
     bench.router.call(&stream_request("followed", 100)).await;
     bench.router.wait_log(&["event=call ", "id=followed"]).await;
@@ -102,10 +103,10 @@
     }
 }
 
-/// A burst of calls comes, some of which fail. The lines of most answered calls are left out, those of
-/// the failed ones are all there, and no call has half of its lines. What was left out is counted.
+/// Guards against losing failures under load: in a burst, the lines of most answered calls are
+/// sampled out and counted, failed calls are all logged, and no call is logged partially.
 #[tokio::test]
-async fn burst_keeps_failures_and_whole_calls() {
+async fn burst_logs_all_failures_and_complete_calls() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     let calls = (0..240).map(|number| {
         let path = match number % 12 {
@@ -139,12 +140,13 @@
     call(address, request).await.expect("an answer").status
 }
 
-/// Nobody reads the router's log any more, and its pipe and ring are full. Callers are served as
-/// before, and the router ends in time when it is told to, though its last lines cannot be written.
+/// Guards against a blocked log: nothing reads the router's log, and its pipe and ring are full.
+/// Calls are served as before, and the router exits in time although its last lines cannot be
+/// written.
 #[tokio::test]
 async fn unread_log_blocks_nothing() {
     let mut bench = GatewayBench::start_unread(&draft(1, AMPLE)).await;
-    // 4,096 lines in the ring and 64 KiB in the pipe; the ids are long to get there sooner.
+    // 4,096 lines fit in the ring and 64 KiB in the pipe; long ids fill them sooner.
     let filler = "x".repeat(2_000);
     for number in 0..2_500 {
         let id = format!("{filler}{number}");
@@ -169,10 +171,10 @@
     assert_eq!(bench.router.wait_end().await, Some(0));
 }
 
-/// An operator asks a router what it believes. Each item comes with its age, and the command line
-/// shows the same.
+/// Guards against a status without ages: each item of a router's state is shown with its age, and
+/// the command line shows the same.
 #[tokio::test]
-async fn status_shows_beliefs_with_ages() {
+async fn status_shows_state_with_ages() {
     let bench = GatewayBench::start(&draft(7, AMPLE)).await;
     bench.router.call(&stream_request("call-1", 100)).await;
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_beechsaddle"))
@@ -194,11 +196,11 @@
     }
 }
 
-/// The page of metrics lists what a router serves, and nothing else.
+/// Guards against a page of metrics that does not list exactly the metrics served.
 #[tokio::test]
-async fn metrics_page_lists_each() {
+async fn metrics_page_lists_every_metric() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
-    // What is counted by a word is served from its first count on.
+    // A metric with labels is served from its first count on.
     bench.plain[0].set_fault(TargetFault::Failing);
     for number in 0..8 {
         bench
--- a/crates/beechsaddle/tests/gateway_relay.rs
+++ b/crates/beechsaddle/tests/gateway_relay.rs
@@ -1,4 +1,4 @@
-//! Tests of routers that learn from each other what changes in the store.
+//! Tests of routers that receive the store's changes from each other.
 
 mod gateway_support;
 
@@ -13,21 +13,21 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Routers of the domain: enough that two follow the store and the others these.
+/// Routers of the domain: enough that two follow the store and the others follow these.
 const ROUTERS: usize = 7;
 
-/// Within what a new configuration has to be in force at every router.
-const IN_FORCE: Duration = Duration::from_secs(4);
+/// Time within which a new configuration must be in force at every router.
+const IN_FORCE_LIMIT: Duration = Duration::from_secs(4);
 
 struct RelayFleet {
-    /// Store and targets, and a router of another domain.
+    /// The store, the targets and a router of another domain.
     bench: GatewayBench,
     routers: Vec<GatewayProcess>,
-    /// The way of each router to the store.
+    /// The connection of each router to the store.
     paths: Vec<StorePath>,
 }
 
-/// A way to the store that can be cut.
+/// A proxy to the store whose connections can be cut.
 struct StorePath {
     address: SocketAddr,
     is_cut: watch::Sender<bool>,
@@ -56,7 +56,7 @@
         StorePath { address, is_cut }
     }
 
-    /// Every connection is closed from now on.
+    /// Closes all connections, also later ones.
     fn cut(&self) {
         self.is_cut.send_replace(true);
     }
@@ -86,7 +86,7 @@
             let listed = format!("routers={}", ROUTERS + 1);
             router.wait_log(&["routers_listed", &listed]).await;
         }
-        // A router that was listed alone at first watches the store until that watch ends.
+        // A router that was at first listed alone watches the store until that watch ends.
         wait_for("two followers", || async {
             fleet.followers().await.len() == 2 && fleet.step_count("news").await > 0.0
         })
@@ -94,7 +94,7 @@
         fleet
     }
 
-    /// Steps of all routers that ended so.
+    /// Returns the steps of all routers with this result.
     async fn step_count(&self, what: &str) -> f64 {
         let mut steps = 0.0;
         for router in self.routers() {
@@ -108,7 +108,7 @@
         self.routers.iter()
     }
 
-    /// Applies a configuration and waits until all have it.
+    /// Applies a configuration and waits until all routers have it.
     async fn change(&self, version: u64) {
         let applied = Instant::now();
         self.bench.store.put_config(&draft(version, 1_000_000));
@@ -116,10 +116,14 @@
             let version = format!("version={version} ");
             router.wait_log(&["config_in_force", &version]).await;
         }
-        assert!(applied.elapsed() < IN_FORCE, "{:?}", applied.elapsed());
+        assert!(
+            applied.elapsed() < IN_FORCE_LIMIT,
+            "{:?}",
+            applied.elapsed()
+        );
     }
 
-    /// The routers that follow the store now.
+    /// Returns the indices of the routers that follow the store.
     async fn followers(&self) -> Vec<usize> {
         let mut followers = Vec::new();
         for (index, router) in self.routers().enumerate() {
@@ -131,17 +135,18 @@
     }
 }
 
-/// Seven routers of a domain each watched the store for every change. Two do so now, and a change of the
-/// configuration or of a target is known to all of them as soon.
+/// Guards against a watch of every router for every change: seven routers of a domain each watched
+/// the store. Two do so now, and changes of the configuration and of targets must reach all of them
+/// as fast.
 #[tokio::test]
-async fn changes_reach_all_routers_by_two_that_follow() {
+async fn two_followers_relay_changes_to_all_routers() {
     let fleet = RelayFleet::start().await;
     let before = fleet.bench.store.calls("GET config");
     for version in 2..6 {
         fleet.change(version).await;
     }
-    let asked = fleet.bench.store.calls("GET config") - before;
-    assert!(asked <= 24, "{asked} calls for four changes");
+    let store_calls = fleet.bench.store.calls("GET config") - before;
+    assert!(store_calls <= 24, "{store_calls} calls for four changes");
     let target = TargetStandIn::try_start("engine-9")
         .await
         .expect("a target");
@@ -156,21 +161,22 @@
     }
 }
 
-/// Seven routers of a domain start together. Each asks one of the two that follow the store for changes, the first
-/// time a second after the store has last answered that one. It was told that what the follower knows is old, asked
-/// the next in line, and that one began to follow the store as well: four watched it for every change.
+/// Guards against too many followers after a start: seven routers start together, and each asks one
+/// of the two followers for changes, first a second after the store last answered that one. The
+/// follower used to report stale state, and the next in line began to follow the store too, so that
+/// four routers watched it for every change.
 #[tokio::test]
-async fn fleet_that_starts_doubts_no_follower() {
+async fn starting_fleet_passes_over_no_follower() {
     let fleet = RelayFleet::start_with(GatewayProcess::start_seldom_probing).await;
     assert_eq!(fleet.step_count("away").await, 0.0);
 }
 
-/// The store turns away both routers that follow it, and serves the others. A target leaves without notice: its entry
-/// is removed. Those that reach the store have to leave it alone within their bound, as if nothing had happened.
-/// Told by their followers that the store was away, they once took the entry for one that had lapsed with an outage,
-/// and sent calls to the target for two seconds more.
+/// Guards against using a removed target: the store rejects both followers and serves the others
+/// while a target's entry is removed. Routers that reach the store must drop the target within
+/// their usual bound. When the followers reported an outage, they used to take the entry for one
+/// that had lapsed during it, and sent calls to the target for two more seconds.
 #[tokio::test]
-async fn followers_turned_away_others_leave_a_target() {
+async fn removed_target_is_dropped_while_followers_lack_the_store() {
     let fleet = RelayFleet::start().await;
     let followers = fleet.followers().await;
     for index in &followers {
@@ -182,15 +188,20 @@
     for (index, router) in fleet.routers().enumerate() {
         if !followers.contains(&index) {
             router.wait_log(&["target_gone", "engine-2"]).await;
-            let kept = router.log_lines(&["target_unconfirmed", "engine-2"]);
-            assert_eq!(kept, Vec::<String>::new());
+            let retained = router.log_lines(&["target_unconfirmed", "engine-2"]);
+            assert_eq!(retained, Vec::<String>::new());
         }
     }
-    assert!(removed.elapsed() < IN_FORCE / 2, "{:?}", removed.elapsed());
+    assert!(
+        removed.elapsed() < IN_FORCE_LIMIT / 2,
+        "{:?}",
+        removed.elapsed()
+    );
 }
 
-/// One of the two that follow the store is frozen, and answers nobody. Its followers notice, go on by the other one
-/// and know the next configuration in time. Awake again, it knows it as well.
+/// Guards against changes hidden by a frozen follower: the routers that follow it must notice, use
+/// the other follower and have the next configuration in time. The frozen router has it after it
+/// resumes.
 #[tokio::test]
 async fn frozen_follower_hides_no_change() {
     let fleet = RelayFleet::start().await;
@@ -204,13 +215,17 @@
             router.wait_log(&["config_in_force", "version=2 "]).await;
         }
     }
-    assert!(applied.elapsed() < IN_FORCE, "{:?}", applied.elapsed());
+    assert!(
+        applied.elapsed() < IN_FORCE_LIMIT,
+        "{:?}",
+        applied.elapsed()
+    );
     frozen.signal(Signal::SIGCONT);
     frozen.wait_log(&["config_in_force", "version=2 "]).await;
 }
 
-/// Both that follow the store are killed. The others ask the next in line or the store itself, and know the next
-/// configuration in time.
+/// Guards against the loss of both followers: the other routers ask the next in line or the store
+/// itself, and have the next configuration in time.
 #[tokio::test]
 async fn killed_followers_are_replaced() {
     let fleet = RelayFleet::start().await;
@@ -227,13 +242,17 @@
             router.wait_log(&["config_in_force", "version=2 "]).await;
         }
     }
-    assert!(applied.elapsed() < IN_FORCE, "{:?}", applied.elapsed());
+    assert!(
+        applied.elapsed() < IN_FORCE_LIMIT,
+        "{:?}",
+        applied.elapsed()
+    );
 }
 
-/// The store is silent for all routers, and a configuration comes as it is back. All know it in time, those that
-/// follow others as well.
+/// Guards against missed changes after an outage of the store for all routers: a configuration that
+/// is applied as the store recovers reaches all of them in time.
 #[tokio::test]
-async fn store_back_all_catch_up() {
+async fn all_routers_catch_up_after_store_outage() {
     let fleet = RelayFleet::start().await;
     fleet.bench.store.set_fault(StoreFault::Silent);
     sleep(Duration::from_millis(3_000)).await;
--- a/crates/beechsaddle/tests/gateway_relay_joins.rs
+++ b/crates/beechsaddle/tests/gateway_relay_joins.rs
@@ -1,4 +1,4 @@
-//! Tests of what a router that has just joined tells those that follow it.
+//! Tests of the answers that a router which has just joined gives to the routers that follow it.
 
 mod gateway_support;
 
@@ -18,14 +18,15 @@
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
 /// Other routers of the domain: enough that some follow the store for the others.
-const OTHERS: usize = 7;
+const OTHER_ROUTERS: usize = 7;
 
-/// How long the router may take to hear of a change before it may say that there is none.
-const HEARD: Duration = Duration::from_millis(300);
+/// Time within which the router must know of a change before it may report that there is none.
+const PROPAGATION_SPAN: Duration = Duration::from_millis(300);
 
-/// Guards against a router that has just joined, follows nothing yet, and tells others that nothing changed.
+/// Guards against a router that has just joined, does not follow the store yet, and reports that
+/// nothing changed.
 #[tokio::test]
-async fn router_that_joins_claims_nothing_before_it_follows() {
+async fn joining_router_claims_no_state_before_it_watches() {
     LocalSet::new().run_until(check_claim()).await;
 }
 
@@ -33,7 +34,7 @@
     let store = StoreStandIn::try_start().await.expect("a store");
     store.put_config(&draft(1, 1_000_000));
     let before = add_target(&store, "engine-1").await;
-    for number in 0..OTHERS {
+    for number in 0..OTHER_ROUTERS {
         let entry = serde_json::json!({"domain": "south", "address": "127.0.0.1:9"});
         store.put("routers", &format!("host-{number}"), &entry);
     }
@@ -46,14 +47,14 @@
     .await;
     let revision = store.revision();
     let late = add_target(&store, "engine-2").await;
-    sleep(HEARD).await;
+    sleep(PROPAGATION_SPAN).await;
     let entry = store.spec("routers", &host).expect("its entry");
     let address = entry["address"].as_str().expect("an address");
     let secret = store.spec("budgets", "peer-secret").expect("a secret");
     let secret = secret["secret"].as_str().expect("a text").to_owned();
     let address = address.parse().expect("an address");
     let claim = ask(address, &secret, revision).await;
-    assert_ne!(claim, (FollowOutcome::News, 0), "it hides a change");
+    assert_ne!(claim, (FollowOutcome::News, 0), "the answer hides a change");
     drop((before, late));
 }
 
@@ -63,17 +64,17 @@
     target
 }
 
-/// A host that comes before all others among those that follow the store.
+/// Returns a host name that ranks first among the routers that follow the store.
 fn first_follower() -> String {
     let weight = |host: &str| rendezvous_weight("news", host);
-    let known = (0..OTHERS).map(|number| weight(&format!("host-{number}")));
+    let known = (0..OTHER_ROUTERS).map(|number| weight(&format!("host-{number}")));
     let most = known.max().expect("routers");
     let names = (0..).map(|number| format!("joins-{number}"));
     let mut first = names.filter(|name| weight(name) > most);
     first.next().expect("a name")
 }
 
-/// Asks a router what changed among the targets; gives its answer and how many batches came with it.
+/// Asks a router for changes of targets; returns its outcome and the number of batches.
 async fn ask(address: SocketAddr, secret: &str, revision: u64) -> (FollowOutcome, u32) {
     let stream = TcpStream::connect(address).await.expect("a connection");
     let (reader, writer) = stream.into_split();
@@ -86,7 +87,7 @@
     let mut system = RpcSystem::new(Box::new(network), None);
     let client: news_relay::Client = system.bootstrap(Side::Server);
     spawn_local(system);
-    // The router learns the secret a moment after it has started.
+    // The router loads the secret a moment after it has started.
     loop {
         let mut call = client.follow_request();
         let mut parameters = call.get();
--- a/crates/beechsaddle/tests/gateway_streams.rs
+++ b/crates/beechsaddle/tests/gateway_streams.rs
@@ -41,8 +41,8 @@
     assert_eq!(event_ids(&reply.body), [1, 2, 3]);
 }
 
-/// Each target breaks off after two events, in the middle of the third. The caller of a resumable
-/// stream sees one answer with every event once: the next target goes on behind the last whole one.
+/// Guards against lost or duplicate events: each target disconnects after two events, in the middle
+/// of the third. The next target resumes after the last complete event, within the same response.
 #[tokio::test]
 async fn resumable_cut_goes_on_in_the_same_answer() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -79,9 +79,10 @@
     }
 }
 
-/// A caller comes back for the rest of a stream. What it has is not sent again.
+/// Guards against sending events twice: a caller resumes a stream, and gets only the events it does
+/// not have.
 #[tokio::test]
-async fn callers_own_resume_is_passed_on() {
+async fn resume_by_the_caller_is_passed_on() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     let mut call = stream_request("/stream/on/1", "call-1");
     call.more = vec!["Last-Event-Id: 1".to_owned()];
@@ -89,10 +90,10 @@
     assert_eq!(event_ids(&reply.body), [2, 3]);
 }
 
-/// A stream that may run once only is cut. The caller sees a connection that ends without the end
-/// of the answer, and no other target gets the call.
+/// Guards against hiding a truncated stream: a non-repeatable stream is cut. The caller sees a
+/// connection that closes without the end of the response, and no other target receives the call.
 #[tokio::test]
-async fn single_cut_ends_visibly_broken() {
+async fn non_repeatable_cut_ends_visibly_broken() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     for target in &bench.engines {
         target.set_fault(TargetFault::CutEvents(1));
@@ -106,8 +107,9 @@
     assert_eq!(GatewayBench::run_count(&bench.engines), 1);
 }
 
-/// A target takes a stream and says nothing, for this call or any other. After a while the stream
-/// is begun at another target, though the first never closed its connection.
+/// Guards against waiting for a dead target: it accepts a stream and sends nothing for this call or
+/// any other. The stream is restarted at another target, although the first never closed its
+/// connection.
 #[tokio::test]
 async fn resumable_silent_target_is_given_up() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -120,8 +122,8 @@
     }
 }
 
-/// A stream lasts longer than its route allows. The caller gets an end at the route's time, and the
-/// target's work ends too.
+/// Guards against streams that outlast their route's timeout: the response ends at the timeout, and
+/// so does the target's work.
 #[tokio::test]
 async fn route_timeout_ends_the_stream() {
     let mut config = draft(1, AMPLE);
@@ -145,9 +147,10 @@
     .await;
 }
 
-/// Events go out as they come: the first is with the caller long before the last is made.
+/// Guards against buffering: the first event must reach the caller long before the last one is
+/// generated.
 #[tokio::test]
-async fn events_pass_as_they_come() {
+async fn events_are_forwarded_as_they_arrive() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     set_events(&bench.engines, 4, 300);
     let call = stream_request("/stream/once/1", "call-1");
