--- a/crates/beechsaddle/tests/limit_support/mod.rs
+++ b/crates/beechsaddle/tests/limit_support/mod.rs
@@ -1,4 +1,4 @@
-//! Engines that name limits, behind routers of several domains, and callers.
+//! Engines with rate limits, behind routers of several domains, and callers.
 
 #![allow(dead_code)]
 
@@ -12,48 +12,47 @@
 
 use crate::gateway_support::{GatewayProcess, SETTLE_SPAN, draft, request};
 
-/// How long after it first named its limit a target may still get more.
-pub const CONTACT_SPAN: Duration = Duration::from_millis(3_000);
+/// Time after a target first announces its limit during which it may receive more.
+pub const PROPAGATION_SPAN: Duration = Duration::from_millis(3_000);
 
-/// The span over which a limit is held.
+/// The window over which a limit is enforced.
 pub const WINDOW_SPAN: Duration = Duration::from_millis(4_000);
 
-/// How many calls a target that names a limit may get in a window.
-pub fn allowed(limit: f64) -> usize {
+/// Returns how many calls a target with a limit may receive in a window.
+pub fn max_allowed(limit: f64) -> usize {
     (1.5 * limit * WINDOW_SPAN.as_secs_f64()) as usize + 5
 }
 
-/// The most calls in any window from `since` on.
-pub fn most_in_window(arrivals: &[Instant], since: Instant) -> usize {
+/// Returns the most calls in any window that starts at `since` or later.
+pub fn max_in_window(arrivals: &[Instant], since: Instant) -> usize {
     let arrivals: Vec<_> = arrivals.iter().filter(|at| **at >= since).collect();
     let counts = arrivals.iter().enumerate().map(|(number, first)| {
-        let rest = arrivals[number..].iter();
-        rest.take_while(|at| ***at < **first + WINDOW_SPAN).count()
+        let following = arrivals[number..].iter();
+        following
+            .take_while(|at| ***at < **first + WINDOW_SPAN)
+            .count()
     });
     counts.max().unwrap_or(0)
 }
 
-/// Routers of three domains before one service of engines.
+/// Routers of three domains in front of one service of engines.
 pub struct LimitFleet {
-    /// The store.
     pub store: StoreStandIn,
-    /// The engines.
     pub engines: Vec<TargetStandIn>,
-    /// The routers.
     pub routers: Vec<GatewayProcess>,
 }
 
-/// What callers got.
+/// The results of calls.
 #[derive(Clone, Debug, Default)]
 pub struct CallCounts {
-    /// Calls.
+    /// Calls made.
     pub made: Arc<AtomicUsize>,
-    /// Calls that were answered with success.
+    /// Calls that were answered successfully.
     pub answered: Arc<AtomicUsize>,
 }
 
 impl CallCounts {
-    /// Calls, and those of them that were answered.
+    /// Returns the calls made and those answered.
     pub fn read(&self) -> (usize, usize) {
         let made = self.made.load(Ordering::Relaxed);
         (made, self.answered.load(Ordering::Relaxed))
@@ -95,7 +94,7 @@
         fleet
     }
 
-    /// Has each router called `rate` times a second for a while.
+    /// Calls each router `rate` times a second for a while.
     pub async fn load(&self, rate: u32, span: Duration) -> CallCounts {
         let counts = CallCounts::default();
         let until = Instant::now() + span;
@@ -106,7 +105,7 @@
         for caller in callers.collect::<Vec<_>>() {
             caller.await.expect("a caller");
         }
-        // Calls that are under way end within this.
+        // Calls in flight end within this time.
         sleep(Duration::from_millis(300)).await;
         counts
     }
