--- a/crates/beechsaddle/src/gateway/attempt_guard.rs
+++ b/crates/beechsaddle/src/gateway/attempt_guard.rs
@@ -9,7 +9,7 @@
 use beechsaddle_core::report::LogLevel;
 
 use super::crashes::{SuspectRun, detect_crash};
-use super::gateway_metrics::WordLabel;
+use super::gateway_metrics::OutcomeLabel;
 use super::gateway_state::GatewayState;
 
 /// Prompt tokens that an engine processes per millisecond; separates prefill time from queueing.
@@ -101,7 +101,7 @@
     /// Records that the attempt ended without a usable response; ejects the target if it could not
     /// be reached or sends nothing at all.
     pub(super) fn record_failure(&self, end: AttemptEnd) {
-        let label = WordLabel { what: end.as_str() };
+        let label = OutcomeLabel { what: end.as_str() };
         self.state.metrics.attempt_ends.get_or_create(&label).inc();
         let is_target_silent = self.silence_ms() >= EJECT_SILENCE_MS;
         let is_link_full = self.state.is_link_full();
--- a/crates/beechsaddle/src/gateway/call_context.rs
+++ b/crates/beechsaddle/src/gateway/call_context.rs
@@ -17,7 +17,7 @@
 
 use super::call_record::CallRecord;
 use super::crashes::TrialGuard;
-use super::gateway_metrics::WordLabel;
+use super::gateway_metrics::OutcomeLabel;
 use super::gateway_state::GatewayState;
 use super::refusal::RefusalCause;
 
@@ -124,7 +124,7 @@
             self.record.log_decision("repeat_denied", fields);
             return false;
         }
-        let label = WordLabel { what: end.as_str() };
+        let label = OutcomeLabel { what: end.as_str() };
         state.metrics.repeats.get_or_create(&label).inc();
         let fields = [
             ("after", end.as_str().to_owned()),
--- a/crates/beechsaddle/src/gateway/call_exchange.rs
+++ b/crates/beechsaddle/src/gateway/call_exchange.rs
@@ -115,7 +115,7 @@
             // A plain response does not report its tokens, so the call is charged the most it may
             // use.
             if let Some(reservation) = &reservation {
-                reservation.note_delivered(u64::MAX);
+                reservation.record_delivered(u64::MAX);
             }
             let response = serve_plain(&call).await;
             if let Some(reservation) = &reservation
--- a/crates/beechsaddle/src/gateway/call_record.rs
+++ b/crates/beechsaddle/src/gateway/call_record.rs
@@ -7,7 +7,7 @@
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::report::{LogLevel, LogLine};
 
-use super::gateway_metrics::{CauseLabel, WordLabel};
+use super::gateway_metrics::{CauseLabel, OutcomeLabel};
 use super::gateway_state::GatewayState;
 use super::refusal::RefusalCause;
 
@@ -55,7 +55,7 @@
             first_ms: Cell::new(None),
             last_event_at: Cell::new(None),
             longest_pause_ms: Cell::new(0),
-            is_sampled: state.line_budget.try_take_call(now),
+            is_sampled: state.log_sampler.try_sample_call(now),
             deferred: RefCell::default(),
         }
     }
@@ -156,7 +156,7 @@
             (false, true) => "pause",
             (false, false) => return,
         };
-        let label = WordLabel { what };
+        let label = OutcomeLabel { what };
         self.state.metrics.late.get_or_create(&label).inc();
         self.add_field("late", what);
     }
@@ -179,7 +179,7 @@
     fn measure_end(&self, elapsed_ms: u64) {
         let state = &self.state;
         state.metrics.whole_s.observe(elapsed_ms as f64 / 1_000.0);
-        let label = WordLabel {
+        let label = OutcomeLabel {
             what: self.outcome.get(),
         };
         state.metrics.outcomes.get_or_create(&label).inc();
@@ -193,7 +193,7 @@
         let state = &self.state;
         let outcome = self.outcome.get();
         let is_logged = self.is_sampled
-            || (outcome != ANSWERED && state.line_budget.try_take_failure(state.now()));
+            || (outcome != ANSWERED && state.log_sampler.try_sample_failure(state.now()));
         let deferred = self.deferred.take();
         if !is_logged {
             state
--- a/crates/beechsaddle/src/gateway/changes/change_apply.rs
+++ b/crates/beechsaddle/src/gateway/changes/change_apply.rs
@@ -40,7 +40,7 @@
                 .filter_map(|object| read_entry(state, object))
                 .collect();
             let changes = state.roster.borrow_mut().take_listing(state.now(), records);
-            state.log_roster(changes);
+            state.log_roster_changes(changes);
         }
         ObjectKind::Routers | ObjectKind::Budgets | ObjectKind::Crashes => {}
     }
@@ -52,12 +52,12 @@
         (ObjectKind::Targets, true) => {
             let name = TargetName::new(event.object.name());
             let change = state.roster.borrow_mut().remove(state.now(), &name);
-            state.log_roster(change);
+            state.log_roster_changes(change);
         }
         (ObjectKind::Targets, false) => {
             if let Some(record) = read_entry(state, &event.object) {
                 let change = state.roster.borrow_mut().put(state.now(), record);
-                state.log_roster(change);
+                state.log_roster_changes(change);
             }
         }
         // A removed configuration stays in force, as there is nothing newer.
@@ -103,7 +103,7 @@
     let fields = [("target", name.to_owned()), ("error", error)];
     let report = &state.report;
     report.log(LogLevel::Error, "target_unreadable", fields);
-    state.log_roster(change);
+    state.log_roster_changes(change);
 }
 
 /// Applies a configuration if it is newer than the current one. An older one, which a late answer
@@ -156,9 +156,9 @@
         sleep(EXPIRY_INTERVAL).await;
         let now = state.now();
         let changes = state.roster.borrow_mut().expire(now);
-        state.log_roster(changes);
+        state.log_roster_changes(changes);
         state.pool.prune(now);
         state.crashes.expire(now);
-        state.note_blocked_count();
+        state.update_blocked_count();
     }
 }
--- a/crates/beechsaddle/src/gateway/changes/follow_call.rs
+++ b/crates/beechsaddle/src/gateway/changes/follow_call.rs
@@ -7,7 +7,7 @@
 use beechsaddle_platform::{ObjectKind, StoreNews};
 use tokio::time::timeout;
 
-use crate::gateway::gateway_metrics::WordLabel;
+use crate::gateway::gateway_metrics::OutcomeLabel;
 use crate::gateway::gateway_state::GatewayState;
 use crate::gateway::token_lending::mark_down;
 
@@ -56,10 +56,10 @@
     kind: ObjectKind,
     revision: u64,
 ) -> FollowStep {
-    let wait = state.settings().relay_age / 2;
+    let wait = state.settings().max_relay_age / 2;
     let secret = state.lending.secret();
     let links = &state.lending.links;
-    let reply = links.follow_news(peer, &secret, kind, revision, wait);
+    let reply = links.follow_changes(peer, &secret, kind, revision, wait);
     let answer = match timeout(wait + ANSWER_TIMEOUT, reply).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(error)) => return record_silence(state, peer, &error),
@@ -67,7 +67,7 @@
     };
     match answer.reply {
         FollowReply::News(batches) => {
-            state.note_relayed_answer(answer.age_ms);
+            state.record_relayed_answer(answer.age_ms);
             count(state, "news");
             read_batches(state, peer, &batches, answer.revision)
         }
@@ -121,6 +121,6 @@
 }
 
 fn count(state: &GatewayState, what: &'static str) {
-    let label = WordLabel { what };
-    state.metrics.news_steps.get_or_create(&label).inc();
+    let label = OutcomeLabel { what };
+    state.metrics.follow_steps.get_or_create(&label).inc();
 }
--- a/crates/beechsaddle/src/gateway/changes/relay_server.rs
+++ b/crates/beechsaddle/src/gateway/changes/relay_server.rs
@@ -90,7 +90,7 @@
 
 /// Returns whether the known state may be stale because the store has not answered for a while.
 fn is_stale(state: &GatewayState) -> bool {
-    state.store_age_ms() > state.settings().relay_age.as_millis() as u64
+    state.store_age_ms() > state.settings().max_relay_age.as_millis() as u64
 }
 
 fn size_of(batches: &[ChangeBatch]) -> usize {
--- a/crates/beechsaddle/src/gateway/changes/router_registry.rs
+++ b/crates/beechsaddle/src/gateway/changes/router_registry.rs
@@ -78,7 +78,7 @@
         sleep(SECOND_LIST_DELAY).await;
         list_routers(&state).await;
     }
-    state.lending.settle();
+    state.lending.enable_roles();
     update_roles(&state);
     loop {
         sleep(LIST_INTERVAL).await;
@@ -100,7 +100,7 @@
 async fn list_routers(state: &GatewayState) {
     let started = state.now();
     let listed = state.store.list_stale(ObjectKind::Routers).await;
-    state.note_store_call(StoreCall::List(ObjectKind::Routers), started, &listed);
+    state.record_store_call(StoreCall::List(ObjectKind::Routers), started, &listed);
     if let Ok(listing) = listed {
         apply_routers(state, &listing.objects);
     }
@@ -172,7 +172,7 @@
     }
     let started = state.now();
     let created = state.store.create(ObjectKind::Routers, name, &spec).await;
-    state.note_store_call(StoreCall::Register, started, &created);
+    state.record_store_call(StoreCall::Register, started, &created);
     let object = match created {
         Ok(_) | Err(StoreFailure::Conflict(None)) => return Ok(OwnEntry::Created),
         Err(StoreFailure::Conflict(Some(object))) => object,
@@ -185,7 +185,7 @@
     let revision = object.revision();
     let kind = ObjectKind::Routers;
     let replaced = state.store.replace(kind, name, revision, &spec).await;
-    state.note_store_call(StoreCall::Register, started, &replaced);
+    state.record_store_call(StoreCall::Register, started, &replaced);
     replaced.map(|_| OwnEntry::Created)
 }
 
@@ -193,7 +193,7 @@
 async fn is_listed(state: &GatewayState, name: &str, spec: &Value) -> bool {
     let started = state.now();
     let read = state.store.read_stale(ObjectKind::Routers, name).await;
-    state.note_store_call(StoreCall::ReadStaleEntry, started, &read);
+    state.record_store_call(StoreCall::ReadStaleEntry, started, &read);
     read.is_ok_and(|object| object.spec == *spec)
 }
 
@@ -217,7 +217,7 @@
     let started = state.now();
     let kind = ObjectKind::Budgets;
     let read = state.store.read_stale(kind, SECRET_NAME).await;
-    state.note_store_call(StoreCall::ReadStaleEntry, started, &read);
+    state.record_store_call(StoreCall::ReadStaleEntry, started, &read);
     read.ok()
 }
 
@@ -239,7 +239,7 @@
     let started = state.now();
     let kind = ObjectKind::Budgets;
     let created = state.store.create(kind, SECRET_NAME, &spec).await;
-    state.note_store_call(StoreCall::Register, started, &created);
+    state.record_store_call(StoreCall::Register, started, &created);
     match created {
         Err(StoreFailure::Conflict(Some(object))) => Ok(*object),
         created => created,
--- a/crates/beechsaddle/src/gateway/changes/store_follow.rs
+++ b/crates/beechsaddle/src/gateway/changes/store_follow.rs
@@ -65,8 +65,8 @@
     apply_listing(&state, kind, &listing);
     // The router to follow is known once the routers that started together are listed. Without the
     // wait, each of them would begin with watches of its own.
-    let settled = timeout(SETTLE_WAIT, state.lending.settled()).await;
-    if settled.is_err() {
+    let roles_enabled = timeout(SETTLE_WAIT, state.lending.roles_enabled()).await;
+    if roles_enabled.is_err() {
         let fields = [("duty", kind_name(kind).to_owned())];
         let report = &state.report;
         report.log(LogLevel::Warning, "routers_unlisted", fields);
@@ -138,7 +138,7 @@
         Ok(watched) => watched,
         Err(_) => Err(StoreFailure::Unknown("no answer in time".to_owned())),
     };
-    state.note_store_call(StoreCall::Watch(kind), started, &watched);
+    state.record_store_call(StoreCall::Watch(kind), started, &watched);
     let step = match watched {
         Ok(changes) => StoreStep::Changes(changes),
         Err(StoreFailure::HistoryGone) => match try_list(state, kind).await {
@@ -160,7 +160,7 @@
 /// saturated link, so that nothing later is certain.
 fn record_known(state: &GatewayState, kind: ObjectKind, started: ClockTime) {
     if kind == ObjectKind::Targets {
-        state.note_targets_known(started);
+        state.record_targets_known(started);
     }
 }
 
@@ -203,10 +203,10 @@
     };
     let Some(watched) = watched else {
         let late = StoreFailure::Unknown("no answer in time, or the store probe failed".to_owned());
-        state.note_store_call::<()>(StoreCall::Watch(kind), started, &Err(late.clone()));
+        state.record_store_call::<()>(StoreCall::Watch(kind), started, &Err(late.clone()));
         return recover_watch(state, kind, &late, watching.as_mut()).await;
     };
-    state.note_store_call(StoreCall::Watch(kind), started, &watched);
+    state.record_store_call(StoreCall::Watch(kind), started, &watched);
     match watched {
         Ok(changes) => StoreStep::Changes(changes),
         // A compacted history is no failure of the store: the listing is requested at once.
@@ -236,7 +236,7 @@
         },
         listing = &mut listing => StoreStep::Listing(listing),
     };
-    state.note_store_answer();
+    state.record_store_answer();
     let revision = match &step {
         StoreStep::Changes(changes) => changes.revision,
         StoreStep::Listing(listing) => listing.revision,
@@ -272,7 +272,7 @@
 async fn try_list(state: &GatewayState, kind: ObjectKind) -> Option<StoreListing> {
     let started = state.now();
     let listed = state.store.list(kind).await;
-    state.note_store_call(StoreCall::List(kind), started, &listed);
+    state.record_store_call(StoreCall::List(kind), started, &listed);
     listed.ok()
 }
 
--- a/crates/beechsaddle/src/gateway/changes/store_probe.rs
+++ b/crates/beechsaddle/src/gateway/changes/store_probe.rs
@@ -140,8 +140,8 @@
     let settings = state.settings();
     let choice = state.relay.choice.borrow();
     match choice.is_followed(state.now(), &state.lending.ring.borrow()) {
-        true => settings.probe_span.min(settings.relay_age / 2),
-        false => settings.probe_span,
+        true => settings.probe_interval.min(settings.max_relay_age / 2),
+        false => settings.probe_interval,
     }
 }
 
@@ -155,10 +155,10 @@
 async fn probe(state: &GatewayState) -> bool {
     let started = state.now();
     let read = state.store.probe(ObjectKind::Budgets, SECRET_NAME).await;
-    state.note_store_call(StoreCall::Probe, started, &read);
+    state.record_store_call(StoreCall::Probe, started, &read);
     // A change would have ended the watch before the store answered this call.
     if read.is_ok() && state.relay.is_watched(ObjectKind::Targets) {
-        state.note_targets_known(started);
+        state.record_targets_known(started);
     }
     !read.as_ref().is_err_and(StoreFailure::is_away)
 }
--- a/crates/beechsaddle/src/gateway/crashes/crash_broadcast.rs
+++ b/crates/beechsaddle/src/gateway/crashes/crash_broadcast.rs
@@ -8,7 +8,7 @@
 
 use super::crash_manager::apply_reports;
 use crate::gateway::gateway_state::GatewayState;
-use crate::gateway::token_lending::{LOAN_SPAN, mark_down};
+use crate::gateway::token_lending::{LOAN_TIMEOUT, mark_down};
 
 /// The origin of a crash report, which determines the routers that do not have it yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -142,8 +142,8 @@
     let secret = state.lending.secret();
     let now = state.now();
     let links = &state.lending.links;
-    let sent = links.note_crashes(peer, &secret, now, reports, is_broadcast);
-    let failure = match timeout(LOAN_SPAN, sent).await {
+    let sent = links.send_crashes(peer, &secret, now, reports, is_broadcast);
+    let failure = match timeout(LOAN_TIMEOUT, sent).await {
         Ok(Ok(())) => return true,
         Ok(Err(error)) => error,
         Err(_) => "no answer in time".to_owned(),
--- a/crates/beechsaddle/src/gateway/crashes/crash_follow.rs
+++ b/crates/beechsaddle/src/gateway/crashes/crash_follow.rs
@@ -32,7 +32,7 @@
     let mut revision = list_crashes(&state).await;
     // The followers of the store are known once the routers that started together with this one are
     // listed. If that takes too long, this router follows the store itself.
-    let _ = timeout(SETTLE_WAIT, state.lending.settled()).await;
+    let _ = timeout(SETTLE_WAIT, state.lending.roles_enabled()).await;
     loop {
         while is_follower(&state)
             && let Some(batch) = watch_crashes(&state, revision).await
@@ -71,7 +71,7 @@
         let started = state.now();
         let kind = ObjectKind::Crashes;
         let listed = state.store.list_stale(kind).await;
-        state.note_store_call(StoreCall::List(kind), started, &listed);
+        state.record_store_call(StoreCall::List(kind), started, &listed);
         if let Ok(listing) = listed {
             for object in &listing.objects {
                 apply_object(state, object);
@@ -94,6 +94,6 @@
             Err(StoreFailure::Unknown("store probe failed".to_owned()))
         }
     };
-    state.note_store_call(StoreCall::Watch(kind), started, &watched);
+    state.record_store_call(StoreCall::Watch(kind), started, &watched);
     watched.ok()
 }
--- a/crates/beechsaddle/src/gateway/crashes/crash_manager.rs
+++ b/crates/beechsaddle/src/gateway/crashes/crash_manager.rs
@@ -143,7 +143,7 @@
     let fields = [("fingerprint", fingerprint.to_string())];
     let report = &state.report;
     report.log(LogLevel::Info, "request_cleared", fields);
-    state.note_blocked_count();
+    state.update_blocked_count();
     distribute_reports(state, [fingerprint], ReportOrigin::Local);
 }
 
@@ -164,7 +164,7 @@
     for fingerprint in &changed {
         log_blocked(state, now, *fingerprint);
     }
-    state.note_blocked_count();
+    state.update_blocked_count();
     changed
 }
 
--- a/crates/beechsaddle/src/gateway/crashes/crash_store.rs
+++ b/crates/beechsaddle/src/gateway/crashes/crash_store.rs
@@ -130,7 +130,7 @@
         Some(revision) => state.store.replace(kind, name, revision, &spec).await,
         None => state.store.create(kind, name, &spec).await,
     };
-    state.note_store_call(StoreCall::WriteCrashes, started, &written);
+    state.record_store_call(StoreCall::WriteCrashes, started, &written);
     match written {
         Ok(object) => {
             let mut stored = state.crashes.stored.borrow_mut();
@@ -142,7 +142,7 @@
         Err(StoreFailure::Missing | StoreFailure::Conflict(None)) => {
             let started = state.now();
             let read = state.store.read(kind, name).await;
-            state.note_store_call(StoreCall::ReadCrashes, started, &read);
+            state.record_store_call(StoreCall::ReadCrashes, started, &read);
             match read {
                 Ok(object) => apply_object(state, &object),
                 Err(StoreFailure::Missing) => {
--- a/crates/beechsaddle/src/gateway/gateway_metrics.rs
+++ b/crates/beechsaddle/src/gateway/gateway_metrics.rs
@@ -1,5 +1,4 @@
-//! The `gateway_metrics` module provides counters and latency histograms as operators' tools read
-//! them.
+//! The `gateway_metrics` module provides counters and latency histograms for monitoring.
 
 use std::fmt;
 
@@ -13,95 +12,91 @@
 
 use super::refusal::RefusalCause;
 
-/// The cause of a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct CauseLabel {
     pub(super) cause: RefusalCause,
 }
 
-/// A word of a closed set: the end of an attempt or the outcome of a call.
+/// A value of a closed set, such as the end of an attempt or the outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub(super) struct WordLabel {
+pub(super) struct OutcomeLabel {
     pub(super) what: &'static str,
 }
 
-/// A call to the store.
+/// The name and the outcome of a store call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct StoreLabel {
-    /// What was asked.
+    /// The name of the call.
     pub(super) call: &'static str,
-    /// What came of it.
+    /// The name of its outcome.
     pub(super) what: &'static str,
 }
 
-/// What makes an answer late: its first event, or a pause between two.
-const LATE_WORDS: [&str; 2] = ["first", "pause"];
+/// Why an answer counts as late: the time to its first event, or a pause between two events.
+const LATE_CAUSES: [&str; 2] = ["first", "pause"];
 
-/// What may come of a step of following another router.
-const NEWS_WORDS: [&str; 5] = ["news", "gone", "away", "beginning", "silent"];
+/// The possible outcomes of a step of following another router.
+const FOLLOW_OUTCOMES: [&str; 5] = ["news", "gone", "away", "beginning", "silent"];
 
-/// Counters of a closed set of words that are served before the first of them is counted, so that a router which
-/// never follows another one shows it.
-fn counted_from_zero(words: [&'static str; 5]) -> Family<WordLabel, Counter> {
-    let counters = Family::<WordLabel, Counter>::default();
-    for what in words {
-        drop(counters.get_or_create(&WordLabel { what }));
+/// Creates counters that are exported at zero for each value, so that they also show on a router that never
+/// follows another one.
+fn zeroed_counters(values: [&'static str; 5]) -> Family<OutcomeLabel, Counter> {
+    let counters = Family::<OutcomeLabel, Counter>::default();
+    for what in values {
+        drop(counters.get_or_create(&OutcomeLabel { what }));
     }
     counters
 }
 
-/// Everything that is counted and measured.
+/// The metrics of a gateway.
 pub(super) struct GatewayMetrics {
     registry: Registry,
     /// Calls that arrived.
     pub(super) calls: Counter,
-    /// The router's own final answers, by cause.
+    /// Final answers of the router itself, by cause.
     pub(super) refusals: Family<CauseLabel, Counter>,
-    /// Calls by outcome.
-    pub(super) outcomes: Family<WordLabel, Counter>,
-    /// Attempts that failed, by their end.
-    pub(super) attempt_ends: Family<WordLabel, Counter>,
-    /// Further attempts, by the end of the one before.
-    pub(super) repeats: Family<WordLabel, Counter>,
-    /// Further attempts that the retry budget did not allow.
+    pub(super) outcomes: Family<OutcomeLabel, Counter>,
+    /// Failed attempts, by their end.
+    pub(super) attempt_ends: Family<OutcomeLabel, Counter>,
+    /// Further attempts, by the end of the previous one.
+    pub(super) repeats: Family<OutcomeLabel, Counter>,
+    /// Further attempts denied by the retry budget.
     pub(super) repeats_denied: Counter,
-    /// Streams that went on at another target.
+    /// Streams continued at another target.
     pub(super) resumes: Counter,
-    /// Targets taken out of use.
     pub(super) ejections: Counter,
-    /// Attempts under which a target crashed.
+    /// Attempts during which a target crashed.
     pub(super) crashes_seen: Counter,
-    /// Requests that are refused as targets crash under them.
+    /// Blocked requests, because targets crash while executing them.
     pub(super) requests_blocked: Gauge,
-    /// Questions for a place at a target with a limit that had none.
-    pub(super) places_refused: Counter,
-    /// Calls to the store, by what was asked and by outcome.
+    /// Refused requests for permits of rate-limited targets.
+    pub(super) permits_refused: Counter,
+    /// Store calls, by name and outcome.
     pub(super) store_calls: Family<StoreLabel, Counter>,
-    /// Steps of following another router, by what came of them.
-    pub(super) news_steps: Family<WordLabel, Counter>,
-    /// Whether this router follows the store itself: 1, or 0 where it follows a router that does.
+    /// Steps of following another router, by outcome.
+    pub(super) follow_steps: Family<OutcomeLabel, Counter>,
+    /// 1 if this router follows the store itself, 0 if it follows a router that does.
     pub(super) follows_store: Gauge,
     /// Tokens borrowed from other routers.
     pub(super) tokens_borrowed: Counter,
     /// Tokens lent to other routers.
     pub(super) tokens_lent: Counter,
-    /// Tokens that came back from processes that ended on this host.
+    /// Tokens recovered from earlier processes on this host.
     pub(super) tokens_recovered: Counter,
-    /// Lines that were left out of the log under load.
+    /// Log lines dropped by sampling under load.
     pub(super) lines_sampled_out: Counter,
-    /// Open calls.
     pub(super) open_calls: Gauge,
     /// The version of the configuration in force.
     pub(super) config_version: Gauge,
     /// Seconds to the first event or the whole answer.
     pub(super) first_s: Histogram,
-    /// Seconds from the arrival to the start of the attempt that was answered: what the router and
-    /// earlier attempts added.
+    /// Seconds from the arrival of a call to the start of the attempt that was answered, which the router
+    /// and earlier attempts added.
     pub(super) added_s: Histogram,
-    /// Seconds of the longest pause between two events, of each stream.
+    /// Seconds of the longest pause between two events of each stream.
     pub(super) pause_s: Histogram,
-    /// Calls that were answered late, by what made them so.
-    pub(super) late: Family<WordLabel, Counter>,
+    /// Late answers, by cause.
+    pub(super) late: Family<OutcomeLabel, Counter>,
     /// Seconds to the end of the answer.
     pub(super) whole_s: Histogram,
     /// Seconds that a call waited for its reservation.
@@ -111,7 +106,7 @@
 }
 
 impl GatewayMetrics {
-    /// Metrics at zero.
+    /// Creates all metrics at zero.
     pub(super) fn new() -> Self {
         let mut metrics = GatewayMetrics {
             registry: Registry::with_prefix("beechsaddle"),
@@ -125,9 +120,9 @@
             ejections: Counter::default(),
             crashes_seen: Counter::default(),
             requests_blocked: Gauge::default(),
-            places_refused: Counter::default(),
+            permits_refused: Counter::default(),
             store_calls: Family::default(),
-            news_steps: counted_from_zero(NEWS_WORDS),
+            follow_steps: zeroed_counters(FOLLOW_OUTCOMES),
             follows_store: Gauge::default(),
             tokens_borrowed: Counter::default(),
             tokens_lent: Counter::default(),
@@ -143,18 +138,18 @@
             reserve_s: latency_histogram(),
             store_s: latency_histogram(),
         };
-        // Both show from the start, so that a rate can be taken of the first late answer.
-        for what in LATE_WORDS {
-            drop(metrics.late.get_or_create(&WordLabel { what }));
+        // Both causes are exported at zero, so that a rate includes the first late answer.
+        for what in LATE_CAUSES {
+            drop(metrics.late.get_or_create(&OutcomeLabel { what }));
         }
         metrics.register();
         metrics
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the Prometheus text format.
     pub(super) fn to_text(&self) -> String {
         let mut text = String::new();
-        // Writing to a text fails only where a metric's own words cannot be written, which are fixed.
+        // Writing to a `String` fails only if a metric cannot be encoded, and all names are constants.
         match encode(&mut text, &self.registry) {
             Ok(()) => text,
             Err(fmt::Error) => String::new(),
@@ -181,14 +176,14 @@
         );
         let blocked = self.requests_blocked.clone();
         registry.register("requests_blocked", "Requests that crash targets", blocked);
-        let places = self.places_refused.clone();
+        let permits = self.permits_refused.clone();
         registry.register(
             "places_refused",
             "Places refused by limits of targets",
-            places,
+            permits,
         );
         registry.register("store_calls", "Store calls", self.store_calls.clone());
-        let steps = self.news_steps.clone();
+        let steps = self.follow_steps.clone();
         registry.register("news_steps", "Steps of following another router", steps);
         let follows = self.follows_store.clone();
         registry.register("follows_store", "Whether it follows the store", follows);
@@ -219,7 +214,7 @@
     }
 }
 
-/// From 1 ms to about 16 s, doubling.
+/// Buckets from 1 ms to about 16 s, each twice the one before.
 fn latency_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 15))
 }
--- a/crates/beechsaddle/src/gateway/gateway_process.rs
+++ b/crates/beechsaddle/src/gateway/gateway_process.rs
@@ -1,4 +1,4 @@
-//! The `gateway_process` module provides the start and the end of a gateway's process.
+//! The `gateway_process` module provides the start and the shutdown of a gateway's process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,53 +19,55 @@
 
 use super::caller_listener::run_listener;
 use super::changes::{follow_kind, run_expiry, run_probes, run_registration};
-use super::clock_desk::run_clock_reading;
+use super::clock_manager::run_clock_reading;
 use super::crashes::{run_crash_follow, run_crash_writer};
-use super::escrow_keeper::EscrowKeeper;
 use super::gateway_settings::GatewaySettings;
 use super::gateway_state::{GatewayPhase, GatewayState};
 use super::host_listener::run_host_listener;
+use super::ledger_sync::LedgerSync;
 use super::peer_server::run_peer_listener;
 use super::settings_watch::run_settings_watch;
 use super::store_tally::run_store_tally;
 use crate::report::{ReportEdge, ReportOptions};
 use crate::router::ClockSource;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1_024;
 
-/// How long new connections are taken after the signal to end, in milliseconds: the balancer asks
-/// each second and needs two misses; half a second more covers connections on their way.
-const LEAVE_MS: u64 = 2_500;
+/// How long new connections are accepted after the termination signal, in milliseconds. The balancer probes
+/// every second and takes a router out after two failures; another half second covers connections in
+/// transit.
+const DRAIN_MS: u64 = 2_500;
 
-/// What is left of the grace for the end of the process, in milliseconds: giving tokens back, and
-/// a margin before the kill.
-const EXIT_MS: u64 = 700;
+/// Part of the grace period that is reserved for the end of the process, in milliseconds: the return of
+/// tokens, and a margin before the kill.
+const EXIT_RESERVE_MS: u64 = 700;
 
-/// How long giving tokens back may take.
-const GIVE_BACK: Duration = Duration::from_millis(450);
+/// Timeout of the return of tokens.
+const TOKEN_RETURN_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// How long writing the last log lines may take.
-const LOG_SPAN: Duration = Duration::from_millis(150);
+/// Timeout of writing the last log lines.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How often the writer of log lines is looked at in the end.
-const LOG_LOOK: Duration = Duration::from_millis(2);
+/// Interval between checks whether the log writer has finished.
+const LOG_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Runs a gateway until it has shut down.
 ///
 /// # Errors
 ///
-/// When an address is taken, or a thread or the runtime cannot be made.
+/// If an address cannot be bound, or a thread or the runtime cannot be created.
 pub fn run(settings: GatewaySettings, path: &Path) -> Result<()> {
     let clock = ClockSource::of_process();
     let me = RouterIncarnation::new(settings.host.clone(), clock.now().as_millis());
     let mut options = ReportOptions::new(me.to_string()).with_writer(io::stdout());
     options.level = settings.log.level;
-    let (report, report_thread) = ReportEdge::try_start(options).wrap_err("cannot start logs")?;
+    let (report, report_thread) =
+        ReportEdge::try_start(options).wrap_err("cannot start the log thread")?;
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
-        .wrap_err("the runtime cannot be made")?;
+        .wrap_err("cannot create the runtime")?;
     let state = Rc::new(GatewayState::new(settings, me, report));
     let served = LocalSet::new().block_on(&runtime, serve(Rc::clone(&state), path));
     // Tasks that hold the state end with the runtime; the log ends with the state.
@@ -73,21 +75,21 @@
     state.log_store_tally();
     state.report.log(LogLevel::Info, "stopped", []);
     drop(state);
-    finish_log(report_thread);
+    flush_log(report_thread);
     served
 }
 
-/// Waits until the last lines are written. Whoever reads them may have stopped reading: waiting on
-/// would leave the process to the kill, and the host without a restart until then.
-fn finish_log(thread: JoinHandle<()>) {
-    let until = std::time::Instant::now() + LOG_SPAN;
+/// Waits until the last log lines are written. The reader of the log may be stuck: waiting longer would end
+/// in the kill, and delay the restart on this host until then.
+fn flush_log(thread: JoinHandle<()>) {
+    let until = std::time::Instant::now() + LOG_FLUSH_TIMEOUT;
     while !thread.is_finished() {
         if std::time::Instant::now() >= until {
             return;
         }
-        std::thread::sleep(LOG_LOOK);
+        std::thread::sleep(LOG_POLL_INTERVAL);
     }
-    // A thread that panicked has nothing more to write.
+    // A thread that panicked has nothing left to write.
     let _ = thread.join();
 }
 
@@ -103,8 +105,8 @@
     if let Some(address) = settings.peer_address {
         spawn_local(run_peer_listener(try_bind(address)?, Rc::clone(&state)));
     } else {
-        // There is nobody to borrow from.
-        state.lending.settle();
+        // Without a peer address there are no lenders.
+        state.lending.enable_roles();
     }
     spawn_local(run_probes(Rc::clone(&state)));
     spawn_local(follow_kind(Rc::clone(&state), ObjectKind::Config));
@@ -114,7 +116,7 @@
     spawn_local(run_crash_follow(Rc::clone(&state)));
     spawn_local(run_crash_writer(Rc::clone(&state)));
     spawn_local(run_clock_reading(Rc::clone(&state)));
-    spawn_local(EscrowKeeper::new(Rc::clone(&state)).run());
+    spawn_local(LedgerSync::new(Rc::clone(&state)).run());
     spawn_local(run_store_tally(Rc::clone(&state)));
     spawn_local(run_settings_watch(path.to_owned(), Rc::clone(&state)));
     let fields = [
@@ -124,22 +126,24 @@
         ("store", settings.store.address.to_string()),
     ];
     state.report.log(LogLevel::Info, "started", fields);
-    let mut terminate = signal(SignalKind::terminate()).wrap_err("cannot watch signals")?;
-    let mut interrupt = signal(SignalKind::interrupt()).wrap_err("cannot watch signals")?;
+    let mut terminate =
+        signal(SignalKind::terminate()).wrap_err("cannot install a signal handler")?;
+    let mut interrupt =
+        signal(SignalKind::interrupt()).wrap_err("cannot install a signal handler")?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
     shut_down(&state).await;
-    give_back(&state).await;
+    return_tokens(&state).await;
     Ok(())
 }
 
-/// Has all tokens given back that are not in use. The keeper of the escrow does so, as it alone knows
-/// which of its writes may still be done.
-async fn give_back(state: &GatewayState) {
+/// Gives all unused tokens back. This is left to `LedgerSync`, since only it knows which of its writes may
+/// still be committed.
+async fn return_tokens(state: &GatewayState) {
     state.escrow.borrow_mut().close();
-    let until = Instant::now() + GIVE_BACK;
+    let until = Instant::now() + TOKEN_RETURN_TIMEOUT;
     while state.escrow.borrow().has_tokens() {
         let changed = state.escrow_changed.notified();
         state.escrow_wake.notify_one();
@@ -152,18 +156,19 @@
     }
 }
 
-/// Ends all calls within the grace.
+/// Ends all calls within the grace period.
 ///
-/// The router is not ready from the first moment on, so that the balancer turns to others; until it
-/// has done so, what still comes is served as before, or callers would find closed doors.
+/// The router reports not ready from the start, so that the balancer moves new connections to other
+/// routers. Until then it serves new calls as before, since callers would find refused connections
+/// otherwise.
 async fn shut_down(state: &GatewayState) {
     let grace_ms = state.settings().grace_ms;
-    let ends_at = Instant::now() + Duration::from_millis(grace_ms.saturating_sub(EXIT_MS));
+    let ends_at = Instant::now() + Duration::from_millis(grace_ms.saturating_sub(EXIT_RESERVE_MS));
     let open = state.open_calls.get();
     let fields = [("open_calls", open.to_string())];
     state.report.log(LogLevel::Info, "leaving", fields);
     state.phase.send_replace(GatewayPhase::Leaving);
-    sleep(Duration::from_millis(LEAVE_MS.min(grace_ms / 3))).await;
+    sleep(Duration::from_millis(DRAIN_MS.min(grace_ms / 3))).await;
     state.phase.send_replace(GatewayPhase::Closing);
     while state.open_calls.get() > 0 {
         let ended = state.call_ended.notified();
@@ -171,14 +176,14 @@
             break;
         }
     }
-    // Answers that were handed to the connections are on their way.
+    // Answers already passed to their connections are still being sent.
     sleep(Duration::from_millis(20)).await;
     let fields = [("open_calls", state.open_calls.get().to_string())];
     state.report.log(LogLevel::Info, "closing", fields);
 }
 
 fn try_bind(address: SocketAddr) -> Result<TcpListener> {
-    open_listener(address).wrap_err_with(|| format!("{address} cannot be bound"))
+    open_listener(address).wrap_err_with(|| format!("cannot bind {address}"))
 }
 
 fn open_listener(address: SocketAddr) -> io::Result<TcpListener> {
--- a/crates/beechsaddle/src/gateway/gateway_settings.rs
+++ b/crates/beechsaddle/src/gateway/gateway_settings.rs
@@ -11,68 +11,69 @@
 use crate::findings::{FindingList, TableReader};
 use crate::settings::{LogSettings, SettingsFindings, load_settings, need_table, parse_settings};
 
-/// How long a store call may take, in milliseconds: some hundred times its usual answer, and short
-/// enough to try again within the bound on new configurations.
-const STORE_CALL_MS: u64 = 900;
+/// Default timeout of a store call, in milliseconds: some hundred times the usual latency, and short enough
+/// for another attempt within the bound on new configurations.
+const STORE_CALL_TIMEOUT_MS: u64 = 900;
 
-/// How long connecting to the store may take, in milliseconds.
-const STORE_CONNECT_MS: u64 = 400;
+/// Default timeout of connecting to the store, in milliseconds.
+const STORE_CONNECT_TIMEOUT_MS: u64 = 400;
 
-/// How long a watch waits for changes where the platform's bounds are not told, in milliseconds.
-const WATCH_MS: u64 = 2_000;
+/// How long a watch waits for changes if the platform's bounds are not set, in milliseconds.
+const DEFAULT_WATCH_MS: u64 = 2_000;
 
-/// What is left between the end of a watch that the store forgot and the moment at which a change has to be
-/// in force, in milliseconds: a listing, and timers that fire late.
+/// Margin between the end of a watch that the store has lost and the time by which a change has to be in
+/// force, in milliseconds: a listing, and timers that fire late.
 const WATCH_MARGIN_MS: u64 = 600;
 
-/// The longest wait of a watch, in milliseconds, whatever the bounds allow.
-const LONGEST_WATCH_MS: u64 = 10_000;
+/// Maximum wait of a watch, in milliseconds, regardless of the bounds.
+const WATCH_MAX_MS: u64 = 10_000;
 
-/// How often the store is probed, in milliseconds. A path that was lost is noticed within this and a
-/// call timeout: before new configurations have to be in force again after the path is back.
-const PROBE_MS: u64 = 1_000;
+/// Default interval between store probes, in milliseconds. A lost connection is detected within this
+/// interval plus a call timeout, which is before new configurations have to be in force again after it is
+/// restored.
+const DEFAULT_PROBE_MS: u64 = 1_000;
 
-/// The least age, in milliseconds, from which what a follower of the store knows counts as old: some answers of
-/// a slow store.
-const LEAST_AGE_MS: u64 = 400;
+/// Minimum age at which the data of a store follower counts as stale, in milliseconds: several answers of a
+/// slow store.
+const RELAY_AGE_MIN_MS: u64 = 400;
 
-/// The narrowest link that a router is told of, in megabits a second: one prompt a second.
-const LEAST_LINK_MBPS: f64 = 0.1;
+/// Minimum link rate that can be configured, in megabits per second: one prompt per second.
+const LINK_MIN_MBPS: f64 = 0.1;
 
-/// What a router is told about itself.
+/// The settings of a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
-    /// Its host.
+    /// The router's host.
     pub host: HostName,
-    /// Its failure domain.
+    /// The router's failure domain.
     pub domain: DomainName,
-    /// Where callers reach it.
+    /// The listen address for callers.
     pub call_address: SocketAddr,
-    /// Where the balancer asks whether it takes new connections.
+    /// The listen address for readiness probes of the balancer.
     pub ready_address: SocketAddr,
-    /// Where other routers borrow tokens; `None` lends nothing and borrows nothing.
+    /// The listen address for other routers; `None` disables lending and borrowing.
     pub peer_address: Option<SocketAddr>,
-    /// Where metrics are served; `None` serves none.
+    /// The listen address for metrics; `None` serves none.
     pub metrics_address: Option<SocketAddr>,
     /// The platform's store.
     pub store: StoreOptions,
     /// How long a watch of the store waits.
     pub watch_wait: Duration,
-    /// How often the store is probed.
-    pub probe_span: Duration,
-    /// How old what a follower of the store knows may be for others.
-    pub relay_age: Duration,
-    /// What the host's link carries, in megabits a second; `None` where that is not known.
+    /// The interval between store probes.
+    pub probe_interval: Duration,
+    /// The maximum age of data relayed from the store to other routers.
+    pub max_relay_age: Duration,
+    /// The capacity of the host's link, in megabits per second; `None` if unknown.
     pub link_mbps: Option<f64>,
-    /// The time between the signal to end and the kill, in milliseconds.
+    /// The time between the termination signal and the kill, in milliseconds.
     pub grace_ms: u64,
     /// The fleet's retry budget.
     pub retries: RetryShareOptions,
-    /// What routers hold of prepaid totals.
+    /// How many tokens of prepaid totals routers hold.
     pub budgets: EscrowOptions,
-    /// Switches of policy.
+    /// The policy switches.
     pub policy: PolicyOptions,
-    /// Logs.
+    /// The log settings.
     pub log: LogSettings,
 }
 
@@ -80,17 +81,17 @@
 struct StoreSettings {
     options: StoreOptions,
     watch_wait: Duration,
-    probe_span: Duration,
-    relay_age: Duration,
+    probe_interval: Duration,
+    max_relay_age: Duration,
 }
 
 impl GatewaySettings {
-    /// Reads a settings file, or reports all that is wrong with it.
+    /// Reads a settings file, or returns all findings about it.
     pub fn try_load(path: impl AsRef<Path>) -> Result<Self, SettingsFindings> {
         load_settings(path, read_settings)
     }
 
-    /// Reads settings from a text; `file` names it in the findings.
+    /// Parses settings; `file` is the file name in the findings.
     pub fn try_parse(
         file: impl AsRef<str>,
         text: impl AsRef<str>,
@@ -99,15 +100,16 @@
     }
 }
 
-/// Whether a settings file is for a gateway: it has a `[gateway]` table. A file that cannot be read is
-/// left to the other reader, which tells why.
+/// Whether a settings file is for a gateway, that is, has a `[gateway]` table. A file that cannot be read
+/// is left to the other reader, which reports the error.
 pub fn is_gateway_file(path: &Path) -> bool {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     text.lines().any(|line| line.trim() == "[gateway]")
 }
 
 fn read_settings(reader: &TableReader<'_>, findings: &mut FindingList) -> Option<GatewaySettings> {
-    // Every table is read before the first doubt ends the reading, so that all findings show.
+    // Every table is read before the first missing value ends the parsing, so that all findings are
+    // reported.
     let store = need_table(reader, "store", findings);
     let store = store.and_then(|table| read_store(&table, findings));
     let retries = read_retries(reader, findings);
@@ -124,7 +126,7 @@
     let peer_address = gateway.read_address("peer_address", findings);
     let metrics_address = gateway.read_address("metrics_address", findings);
     let grace_ms = gateway.read_seconds_ms("grace_s", 8.0, findings);
-    let link_mbps = gateway.read_f64("link_mbps", LEAST_LINK_MBPS..=1e6, findings);
+    let link_mbps = gateway.read_f64("link_mbps", LINK_MIN_MBPS..=1e6, findings);
     gateway.finish(findings);
     let store = store?;
     Some(GatewaySettings {
@@ -136,8 +138,8 @@
         metrics_address,
         store: store.options,
         watch_wait: store.watch_wait,
-        probe_span: store.probe_span,
-        relay_age: store.relay_age,
+        probe_interval: store.probe_interval,
+        max_relay_age: store.max_relay_age,
         link_mbps,
         grace_ms,
         retries,
@@ -149,19 +151,24 @@
 
 fn read_store(reader: &TableReader<'_>, findings: &mut FindingList) -> Option<StoreSettings> {
     let address = reader.need_address("address", findings);
-    let call_ms = reader.read_u64_or("call_timeout_ms", STORE_CALL_MS, 50..=60_000, findings);
+    let call_ms = reader.read_u64_or(
+        "call_timeout_ms",
+        STORE_CALL_TIMEOUT_MS,
+        50..=60_000,
+        findings,
+    );
     let connect_ms = reader.read_u64_or(
         "connect_timeout_ms",
-        STORE_CONNECT_MS,
+        STORE_CONNECT_TIMEOUT_MS,
         50..=60_000,
         findings,
     );
     let bounds = read_bounds(reader, findings);
-    let usual_ms = usual_watch_ms(bounds, call_ms);
-    let age_ms = usual_age_ms(bounds);
-    let watch_ms = reader.read_u64_or("watch_ms", usual_ms, 100..=30_000, findings);
+    let default_ms = default_watch_ms(bounds, call_ms);
+    let age_ms = default_relay_age_ms(bounds);
+    let watch_ms = reader.read_u64_or("watch_ms", default_ms, 100..=30_000, findings);
     let age_ms = reader.read_u64_or("relay_age_ms", age_ms, 200..=30_000, findings);
-    let probe_ms = reader.read_u64_or("probe_ms", PROBE_MS, 50..=30_000, findings);
+    let probe_ms = reader.read_u64_or("probe_ms", DEFAULT_PROBE_MS, 50..=30_000, findings);
     reader.finish(findings);
     let options = StoreOptions {
         address: address?,
@@ -171,18 +178,18 @@
     Some(StoreSettings {
         options,
         watch_wait: Duration::from_millis(watch_ms),
-        probe_span: Duration::from_millis(probe_ms),
-        relay_age: Duration::from_millis(age_ms),
+        probe_interval: Duration::from_millis(probe_ms),
+        max_relay_age: Duration::from_millis(age_ms),
     })
 }
 
 /// The platform's bounds on following the store, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct StoreBounds {
-    /// How long after a silence no bound holds.
+    /// How long after a silence of the store no bound applies.
     settle_ms: f64,
-    /// Within what a change has to be in force.
-    known_ms: f64,
+    /// The time within which a change has to be in force.
+    propagation_ms: f64,
 }
 
 fn read_bounds(reader: &TableReader<'_>, findings: &mut FindingList) -> Option<StoreBounds> {
@@ -191,30 +198,31 @@
     let leave_ms = reader.read_f64("leave_ms", 0.0..=60_000.0, findings);
     Some(StoreBounds {
         settle_ms: settle_ms?,
-        known_ms: in_force_ms?.min(leave_ms?),
+        propagation_ms: in_force_ms?.min(leave_ms?),
     })
 }
 
-/// How old what a follower knows may be: a quarter of the time in which a change has to be in force. Another
-/// quarter passes at most until the others notice, and the rest is left to ask the store themselves.
-fn usual_age_ms(bounds: Option<StoreBounds>) -> u64 {
-    let known_ms = bounds.map_or(0.0, |bounds| bounds.known_ms);
-    (known_ms as u64 / 4).clamp(LEAST_AGE_MS, PROBE_MS)
+/// Returns the maximum age of a follower's data: a quarter of the time within which a change has to be in
+/// force. Another quarter may pass until the other routers notice, and the rest remains for them to ask the
+/// store themselves.
+fn default_relay_age_ms(bounds: Option<StoreBounds>) -> u64 {
+    let propagation_ms = bounds.map_or(0.0, |bounds| bounds.propagation_ms);
+    (propagation_ms as u64 / 4).clamp(RELAY_AGE_MIN_MS, DEFAULT_PROBE_MS)
 }
 
-/// How long a watch may wait by the platform's bounds.
+/// Returns how long a watch may wait within the platform's bounds.
 ///
-/// A store that is silent for less than the span between two probes forgets watches, and nothing shows it
-/// before their wait and a call's time are over. The platform holds no bound for `settle_ms` after such a
-/// silence, and a change that follows has to be in force within `in_force_ms`: the wait ends before
-/// both are over. Watches are half of what a large fleet asks of the store, so longer ones are worth it.
-fn usual_watch_ms(bounds: Option<StoreBounds>, call_ms: u64) -> u64 {
+/// A store that is silent for less than the probe interval loses its watches, and the router only detects
+/// that when their wait and a call timeout are over. The platform's bounds do not apply for `settle_ms`
+/// after such a silence, and a change after that has to be in force within `in_force_ms`: the wait ends
+/// before both are over. Watches are half of a large fleet's store calls, so longer ones are worthwhile.
+fn default_watch_ms(bounds: Option<StoreBounds>, call_ms: u64) -> u64 {
     let Some(bounds) = bounds else {
-        return WATCH_MS;
+        return DEFAULT_WATCH_MS;
     };
-    let known_by_ms = bounds.settle_ms + bounds.known_ms;
-    let wait_ms = (known_by_ms as u64).saturating_sub(call_ms + WATCH_MARGIN_MS);
-    wait_ms.clamp(WATCH_MS / 2, LONGEST_WATCH_MS)
+    let deadline_ms = bounds.settle_ms + bounds.propagation_ms;
+    let wait_ms = (deadline_ms as u64).saturating_sub(call_ms + WATCH_MARGIN_MS);
+    wait_ms.clamp(DEFAULT_WATCH_MS / 2, WATCH_MAX_MS)
 }
 
 fn read_retries(reader: &TableReader<'_>, findings: &mut FindingList) -> RetryShareOptions {
--- a/crates/beechsaddle/src/gateway/gateway_state.rs
+++ b/crates/beechsaddle/src/gateway/gateway_state.rs
@@ -1,4 +1,4 @@
-//! The `gateway_state` module provides what all parts of a gateway share.
+//! The `gateway_state` module provides the state that all parts of a gateway share.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -15,13 +15,13 @@
 use tokio::sync::{Notify, watch};
 
 use super::changes::{ChangeRelay, StoreHealth};
-use super::clock_desk::ClockDesk;
+use super::clock_manager::ClockManager;
 use super::crashes::CrashManager;
 use super::gateway_metrics::{GatewayMetrics, StoreLabel};
 use super::gateway_settings::GatewaySettings;
-use super::ledger_notes::LedgerNotes;
+use super::ledger_updates::LedgerUpdates;
 use super::limits::LimitManager;
-use super::line_budget::LineBudget;
+use super::log_sampler::LogSampler;
 use super::store_call::StoreCall;
 use super::store_tally::StoreTally;
 use super::target_pool::TargetPool;
@@ -29,85 +29,78 @@
 use crate::report::ReportHandle;
 use crate::router::ClockSource;
 
-/// How far the gateway has shut down.
+/// The phase of a gateway's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum GatewayPhase {
-    /// It serves.
+    /// The gateway is not shutting down.
     Serving,
-    /// It is not ready any more, and still takes what comes; connections end with their answers.
+    /// It is no longer ready, but still accepts connections; each closes after its answer.
     Leaving,
-    /// It takes no new connections and closes idle ones.
+    /// It accepts no new connections and closes idle ones.
     Closing,
 }
 
-/// What all parts of a gateway share. They run on one thread and never hold a borrow while waiting.
+/// The shared state of a gateway. All users run on one thread and never hold a borrow across an await.
 pub(super) struct GatewayState {
-    /// Settings as they were last read.
+    /// The settings as last read.
     pub(super) settings: RefCell<Rc<GatewaySettings>>,
-    /// This incarnation of the router.
     pub(super) me: RouterIncarnation,
-    /// The time.
     pub(super) clock: ClockSource,
-    /// What the clocks of other routers say.
-    pub(super) clocks: ClockDesk,
+    /// The clock readings of other routers.
+    pub(super) clocks: ClockManager,
     /// The configuration in force; `None` before the first.
     pub(super) config: RefCell<Option<Rc<GatewayConfig>>>,
-    /// Since when it is in force.
+    /// Since when the configuration is in force.
     pub(super) config_at: Cell<ClockTime>,
-    /// Targets.
     pub(super) roster: RefCell<TargetRoster>,
-    /// Tokens.
     pub(super) escrow: RefCell<TokenEscrow>,
-    /// Tokens borrowed from other routers, and what is known of these.
+    /// The state of loans from and to other routers.
     pub(super) lending: TokenLending,
     /// Requests that crash targets.
     pub(super) crashes: CrashManager,
-    /// Places at targets that name limits.
+    /// Permits for rate-limited targets.
     pub(super) limits: LimitManager,
-    /// What other keepers told of ledgers.
-    pub(super) ledger_notes: LedgerNotes,
-    /// What the store told, for those that follow this router, and whom this one follows.
+    /// Ledger updates from allocators of other domains.
+    pub(super) ledger_updates: LedgerUpdates,
+    /// Changes of the store for the routers that follow this one, and the router that this one follows.
     pub(super) relay: ChangeRelay,
-    /// How full the router's own link is.
+    /// The load of the router's own link.
     pub(super) link: RefCell<LinkMeter>,
-    /// Whether the router asks for new callers.
+    /// Whether the router accepts new callers.
     pub(super) rotation: RefCell<RotationGate>,
     /// The retry budget.
     pub(super) retries: RefCell<RetryShare>,
     /// Idle connections to targets.
     pub(super) pool: TargetPool,
-    /// The platform's store.
     pub(super) store: StoreClient,
     /// Whether the store answers.
     pub(super) store_health: StoreHealth,
     /// When the store last answered.
     pub(super) store_answered_at: Cell<ClockTime>,
-    /// Up to when changes of targets are known.
+    /// The time up to which changes of targets are known.
     pub(super) targets_known_at: Cell<ClockTime>,
-    /// Calls to the store since they were last logged.
+    /// Counts of store calls since they were last logged.
     pub(super) store_tally: StoreTally,
-    /// Logs.
     pub(super) report: ReportHandle,
-    /// Metrics.
     pub(super) metrics: GatewayMetrics,
-    /// Wakes the keeper of the escrow.
+    /// Wakes the ledger synchronization.
     pub(super) escrow_wake: Notify,
     /// Wakes calls that wait for tokens.
     pub(super) escrow_changed: Notify,
-    /// Whether the ledger could not be reached when it was last tried.
-    pub(super) is_ledger_away: Cell<bool>,
-    /// How far the gateway has shut down.
+    /// Whether the ledger could not be reached at the last attempts.
+    pub(super) is_ledger_unreachable: Cell<bool>,
+    /// The phase of the shutdown.
     pub(super) phase: watch::Sender<GatewayPhase>,
-    /// The bound on log lines of calls that went well.
-    pub(super) line_budget: LineBudget,
-    /// Calls that are running.
+    /// The rate limit for log lines of calls.
+    pub(super) log_sampler: LogSampler,
+    /// The number of calls in progress.
     pub(super) open_calls: Cell<u64>,
     /// Wakes the shutdown when a call ends.
     pub(super) call_ended: Notify,
 }
 
 impl GatewayState {
-    /// The state of a gateway that knows nothing yet.
+    /// Creates the state of a gateway that has no configuration yet.
     pub(super) fn new(
         settings: GatewaySettings,
         me: RouterIncarnation,
@@ -116,7 +109,7 @@
         let clock = ClockSource::of_process();
         GatewayState {
             clock,
-            clocks: ClockDesk::new(clock.now()),
+            clocks: ClockManager::new(clock.now()),
             config: RefCell::new(None),
             config_at: Cell::new(ClockTime::ZERO),
             roster: RefCell::new(TargetRoster::default()),
@@ -124,7 +117,7 @@
             lending: TokenLending::new(settings.host.clone(), settings.domain.clone()),
             crashes: CrashManager::default(),
             limits: LimitManager::default(),
-            ledger_notes: LedgerNotes::default(),
+            ledger_updates: LedgerUpdates::default(),
             relay: ChangeRelay::default(),
             link: RefCell::new(LinkMeter::new(settings.link_mbps, ClockTime::ZERO)),
             rotation: RefCell::default(),
@@ -139,9 +132,9 @@
             metrics: GatewayMetrics::new(),
             escrow_wake: Notify::new(),
             escrow_changed: Notify::new(),
-            is_ledger_away: Cell::new(false),
+            is_ledger_unreachable: Cell::new(false),
             phase: watch::Sender::new(GatewayPhase::Serving),
-            line_budget: LineBudget::default(),
+            log_sampler: LogSampler::default(),
             open_calls: Cell::new(0),
             call_ended: Notify::new(),
             settings: RefCell::new(Rc::new(settings)),
@@ -149,34 +142,33 @@
         }
     }
 
-    /// The time now.
     pub(super) fn now(&self) -> ClockTime {
         self.clock.now()
     }
 
-    /// The settings as they were last read.
+    /// Returns the settings as last read.
     pub(super) fn settings(&self) -> Rc<GatewaySettings> {
         Rc::clone(&self.settings.borrow())
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub(super) fn config(&self) -> Option<Rc<GatewayConfig>> {
         self.config.borrow().clone()
     }
 
-    /// How far the gateway has shut down.
+    /// Returns the phase of the shutdown.
     pub(super) fn phase(&self) -> GatewayPhase {
         *self.phase.borrow()
     }
 
-    /// Notes a request or a whole answer on the router's link.
+    /// Records a request or a whole answer as traffic of the router's link.
     pub(super) fn record_message(&self, way: LinkDirection, body: &Bytes) {
         let now = self.now();
         let mut link = self.link.borrow_mut();
         link.record_message(now, way, body.len() as u64);
     }
 
-    /// Notes a part of a stream that comes in over the router's link and goes out over it.
+    /// Records a part of a stream, which enters and leaves over the router's link.
     pub(super) fn record_part(&self, part: &Bytes) {
         let now = self.now();
         let mut link = self.link.borrow_mut();
@@ -185,15 +177,15 @@
         }
     }
 
-    /// Whether the router's own link is full.
+    /// Whether the router's own link is congested.
     pub(super) fn is_link_full(&self) -> bool {
         self.link.borrow().is_full(self.now())
     }
 
-    /// Whether the router asks for new callers.
+    /// Whether the router reports ready for new callers.
     ///
-    /// A router that knows a configuration serves what it can, also while the store is away: taking it
-    /// out of rotation would leave its callers to routers that are cut off like itself.
+    /// A router with a configuration stays in rotation while the store is unreachable: otherwise its
+    /// callers would move to routers that are cut off as well.
     pub(super) fn is_in_rotation(&self) -> bool {
         let now = self.now();
         let load = self.link.borrow().load(now);
@@ -207,43 +199,45 @@
         serves && !self.has_left_rotation()
     }
 
-    /// Whether the router has left the rotation because its own link was full.
+    /// Whether the router has left the rotation because its own link was congested.
     pub(super) fn has_left_rotation(&self) -> bool {
         let policy = self.settings().policy;
         policy.leaves_full_link && self.rotation.borrow().is_out_of_rotation(self.now())
     }
 
-    /// Notes that all changes of targets up to a time are known.
-    pub(super) fn note_targets_known(&self, at: ClockTime) {
+    /// Records that all changes of targets up to a time are known.
+    pub(super) fn record_targets_known(&self, at: ClockTime) {
         let known_at = self.targets_known_at.get();
         self.targets_known_at.set(known_at.max(at));
     }
 
-    /// Whether calls are turned away as the router's own link was full and changes of targets come late over it. A
-    /// target that leaves would get new work from here for seconds, and its answers would be late. While the link is
-    /// full now does not tell: what waits in its queues is not counted.
+    /// Whether to refuse calls because the router's own link was congested and changes of targets arrive
+    /// late. A draining target would otherwise get new calls from this router for seconds, and their
+    /// answers would be late. The current link load is no criterion, since it excludes messages queued in
+    /// the link.
     pub(super) fn is_behind_full_link(&self) -> bool {
         let settings = self.settings();
-        let known_ms = self.now().since(self.targets_known_at.get());
-        // Without a full link a router hears something of the store in this time.
-        let heard_span = settings.probe_span + settings.relay_age;
-        let is_late = u128::from(known_ms) > heard_span.as_millis();
+        let age_ms = self.now().since(self.targets_known_at.get());
+        // On a link that is not congested, the router receives an answer or update of the store within this
+        // time.
+        let update_interval = settings.probe_interval + settings.max_relay_age;
+        let is_late = u128::from(age_ms) > update_interval.as_millis();
         is_late && self.has_left_rotation()
     }
 
-    /// Shows how many requests are refused as they crash targets.
-    pub(super) fn note_blocked_count(&self) {
+    /// Updates the metric of blocked requests.
+    pub(super) fn update_blocked_count(&self) {
         let blocked = self.crashes.blocked_count();
         self.metrics.requests_blocked.set(blocked as i64);
     }
 
-    /// Waiting times of a duty.
+    /// Creates the backoff of a periodic task, which `duty` names.
     pub(super) fn backoff(&self, duty: &str) -> RetryBackoff {
         RetryBackoff::new(&self.me, duty)
     }
 
-    /// Counts and logs a store call, and notes when the store is away.
-    pub(super) fn note_store_call<T>(
+    /// Counts and logs a store call, and records whether the store was unreachable.
+    pub(super) fn record_store_call<T>(
         &self,
         call: StoreCall,
         started: ClockTime,
@@ -259,7 +253,7 @@
             what,
         };
         self.metrics.store_calls.get_or_create(&label).inc();
-        self.store_tally.note(call, what);
+        self.store_tally.record(call, what);
         let took_ms = now.since(started);
         self.metrics.store_s.observe(took_ms as f64 / 1_000.0);
         let fields = [
@@ -268,48 +262,48 @@
             ("took_ms", took_ms.to_string()),
         ];
         self.report.log(LogLevel::Debug, "store_call", fields);
-        let is_away = outcome.as_ref().is_err_and(StoreFailure::is_away);
-        if !is_away {
-            self.note_store_answer();
+        let is_outage = outcome.as_ref().is_err_and(StoreFailure::is_away);
+        if !is_outage {
+            self.record_store_answer();
         } else {
-            self.note_store_away();
+            self.record_store_outage();
         }
     }
 
-    /// Notes that the store is out of reach of this router. Entries of targets may lapse meanwhile though these live.
-    /// The word of another router is no ground for it: an entry that is removed would be kept in use here for
-    /// seconds, though the store told of it in time.
-    fn note_store_away(&self) {
+    /// Records that the store is unreachable from this router. Meanwhile entries of live targets may
+    /// expire. Reports of other routers do not count: a removed entry would stay in use here for seconds
+    /// although the store had reported the removal in time.
+    fn record_store_outage(&self) {
         let now = self.now();
         self.roster.borrow_mut().record_outage(now);
         self.store_health.record_outage(now);
     }
 
-    /// Notes that the store answered.
-    pub(super) fn note_store_answer(&self) {
+    /// Records that the store answered.
+    pub(super) fn record_store_answer(&self) {
         self.store_answered_at.set(self.now());
         if self.store_health.note(true) {
-            // Keepers get tokens again: callers need not be refused until a pause is over.
+            // Allocators can get tokens again, so calls need not be refused until the pause ends.
             self.lending.pauses.borrow_mut().clear();
         }
     }
 
-    /// Notes that a router that this one follows was answered by the store, so long ago.
-    pub(super) fn note_relayed_answer(&self, age_ms: u64) {
+    /// Records that the store answered the router that this one follows, `age_ms` milliseconds ago.
+    pub(super) fn record_relayed_answer(&self, age_ms: u64) {
         let now_ms = self.now().as_millis();
         let at = ClockTime::from_millis(now_ms.saturating_sub(age_ms));
         self.store_answered_at
             .set(self.store_answered_at.get().max(at));
     }
 
-    /// How long ago the store last answered, in milliseconds: what is believed of configuration and
-    /// targets is as old.
+    /// Returns the time since the store last answered, in milliseconds: the age of the known configuration
+    /// and targets.
     pub(super) fn store_age_ms(&self) -> u64 {
         self.now().since(self.store_answered_at.get())
     }
 
-    /// Logs what changed among the targets, and closes connections to incarnations that are gone.
-    pub(super) fn log_roster(&self, changes: impl IntoIterator<Item = RosterChange>) {
+    /// Logs changes of targets, and closes connections to incarnations that are gone.
+    pub(super) fn log_roster_changes(&self, changes: impl IntoIterator<Item = RosterChange>) {
         for change in changes {
             if let RosterChange::Gone(_, address) | RosterChange::Restarted(_, address) = change {
                 self.pool.forget(address);
--- a/crates/beechsaddle/src/gateway/host_listener.rs
+++ b/crates/beechsaddle/src/gateway/host_listener.rs
@@ -1,4 +1,4 @@
-//! The `host_listener` module provides what the host and its operators ask: readiness, status and
+//! The `host_listener` module provides the HTTP endpoints for the host and operators: readiness, status and
 //! metrics.
 
 use std::convert::Infallible;
@@ -20,19 +20,18 @@
 use super::gateway_state::GatewayState;
 use super::status_view::view_status;
 
-/// Where metrics are served.
 const METRICS_PATH: &str = "/metrics";
 
-/// Where the status is served, as by the routers of the product's own interface.
+/// The path of the status, the same as on routers with the product's own interface.
 const STATUS_PATH: &str = "/admin/status";
 
-/// How long a connection may stay idle: several times the pause between two questions.
-const IDLE_SPAN: Duration = Duration::from_secs(20);
+/// Idle timeout of a connection: several times the interval between two requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long to wait after a failed accept.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers until the process ends.
+/// Serves requests until the process ends.
 pub(super) async fn run_host_listener(listener: TcpListener, state: Rc<GatewayState>) {
     loop {
         let stream = match listener.accept().await {
@@ -52,9 +51,9 @@
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(IDLE_SPAN)
+                .header_read_timeout(IDLE_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
-            // Whoever asked asks again; a connection that broke changes nothing here.
+            // A failed connection has no consequences here; the client repeats its request.
             let _ = connection.await;
         });
     }
--- a/crates/beechsaddle/src/gateway/ledger_store.rs
+++ b/crates/beechsaddle/src/gateway/ledger_store.rs
@@ -1,4 +1,4 @@
-//! The `ledger_store` module provides ledgers as objects of the platform's store.
+//! The `ledger_store` module provides access to ledgers, which are objects of the platform's store.
 
 use std::fmt::Write;
 use std::rc::Rc;
@@ -12,28 +12,27 @@
 use super::gateway_state::GatewayState;
 use super::store_call::StoreCall;
 
-/// A ledger as it lies in the store.
+/// A ledger and its revision in the store.
 #[derive(Clone, Debug)]
 pub(super) struct StoredLedger {
     /// The revision of its last change.
     pub(super) revision: u64,
-    /// The ledger.
     pub(super) ledger: BudgetLedger,
 }
 
-/// What came of a write.
+/// The outcome of a write.
 #[derive(Debug)]
 pub(super) enum WriteOutcome {
-    /// It is done.
+    /// The write succeeded.
     Done(StoredLedger),
-    /// Another write came first, perhaps an earlier try of this one.
-    Overtaken {
-        /// The ledger as it is.
+    /// Another write came first, possibly an earlier attempt of the same write.
+    Superseded {
+        /// The current ledger.
         ledger: StoredLedger,
-        /// Whether the change is in it.
+        /// Whether it contains the change.
         has_change: bool,
     },
-    /// Nothing is known of it, or nothing was done.
+    /// The write failed, or its outcome is unknown.
     Failed(StoreFailure),
 }
 
@@ -43,15 +42,15 @@
 }
 
 impl LedgerStore {
-    /// Ledgers in the store of a gateway.
+    /// Creates access to the ledgers in the store of a gateway.
     pub(super) fn new(state: Rc<GatewayState>) -> Self {
         LedgerStore { state }
     }
 
-    /// Finds a ledger, or makes an empty one where there is none.
+    /// Reads a ledger, or creates an empty one if there is none.
     ///
-    /// One that is some seconds old will do, for a tenth of the price: a write that is made from it meets the
-    /// newest, which comes with the refusal.
+    /// A stale read suffices, at a tenth of the cost: a write that is based on it conflicts, and the
+    /// conflict returns the newest ledger.
     pub(super) async fn find_or_create(
         &self,
         workspace: &WorkspaceName,
@@ -62,7 +61,7 @@
         }
     }
 
-    /// Reads a ledger as it is now.
+    /// Reads the current ledger.
     pub(super) async fn read(
         &self,
         workspace: &WorkspaceName,
@@ -71,7 +70,7 @@
         let started = self.state.now();
         let read = self.state.store.read(ObjectKind::Budgets, &name).await;
         self.state
-            .note_store_call(StoreCall::ReadLedger, started, &read);
+            .record_store_call(StoreCall::ReadLedger, started, &read);
         self.decode(&read?)
     }
 
@@ -81,7 +80,7 @@
         let kind = ObjectKind::Budgets;
         let created = self.state.store.create(kind, name, &empty).await;
         self.state
-            .note_store_call(StoreCall::Register, started, &created);
+            .record_store_call(StoreCall::Register, started, &created);
         match created {
             Ok(object) => self.decode(&object),
             Err(StoreFailure::Conflict(Some(object))) => self.decode(&object),
@@ -89,7 +88,7 @@
         }
     }
 
-    /// Reads a ledger as it was some seconds ago.
+    /// Reads a ledger that may be some seconds old.
     pub(super) async fn read_stale(
         &self,
         workspace: &WorkspaceName,
@@ -102,23 +101,23 @@
             .read_stale(ObjectKind::Budgets, &name)
             .await;
         self.state
-            .note_store_call(StoreCall::ReadStaleLedger, started, &read);
+            .record_store_call(StoreCall::ReadStaleLedger, started, &read);
         self.decode(&read?)
     }
 
-    /// Writes a change on the ledger that it was made from.
+    /// Writes a change to the ledger that it is based on.
     ///
-    /// A write without an answer may be done now, later or never. The same write, on the same
-    /// revision, is tried until the store tells: at most one of the tries can be done, since each
-    /// changes the revision that all of them ask for.
+    /// A write without an answer may be committed now, later or never. The same write is repeated on the
+    /// same revision until the store answers: at most one of the attempts can succeed, since each changes
+    /// the revision that all of them require.
     pub(super) async fn write(
         &self,
         workspace: &WorkspaceName,
-        known: &StoredLedger,
+        base: &StoredLedger,
         change: LedgerChange,
     ) -> WriteOutcome {
         let router = self.state.escrow.borrow().router().to_owned();
-        let ledger = known.ledger.with_change(&router, change);
+        let ledger = base.ledger.with_change(&router, change);
         let spec = match encode(&ledger) {
             Ok(spec) => spec,
             Err(failure) => return WriteOutcome::Failed(failure),
@@ -126,20 +125,20 @@
         let name = object_name(workspace);
         let started = self.state.now();
         let kind = ObjectKind::Budgets;
-        let revision = known.revision;
+        let revision = base.revision;
         let written = self.state.store.replace(kind, &name, revision, &spec).await;
         self.state
-            .note_store_call(StoreCall::WriteLedger, started, &written);
+            .record_store_call(StoreCall::WriteLedger, started, &written);
         match written {
             Ok(object) => {
-                self.log_change(workspace, change, known, &ledger, object.revision());
+                self.log_change(workspace, change, base, &ledger, object.revision());
                 WriteOutcome::Done(StoredLedger {
                     revision: object.revision(),
                     ledger,
                 })
             }
             Err(StoreFailure::Conflict(Some(object))) => match self.decode(&object) {
-                Ok(stored) => WriteOutcome::Overtaken {
+                Ok(stored) => WriteOutcome::Superseded {
                     has_change: stored.ledger.has_change(&router, change.number),
                     ledger: stored,
                 },
@@ -172,7 +171,7 @@
         &self,
         workspace: &WorkspaceName,
         change: LedgerChange,
-        known: &StoredLedger,
+        base: &StoredLedger,
         ledger: &BudgetLedger,
         revision: u64,
     ) {
@@ -180,7 +179,7 @@
             TokenTransfer::Take(tokens) => ("take", tokens),
             TokenTransfer::GiveBack(tokens) => ("give_back", tokens),
         };
-        let recovered = known.ledger.recovered_in(ledger, change);
+        let recovered = base.ledger.recovered_in(ledger, change);
         self.state.metrics.tokens_recovered.inc_by(recovered);
         let fields = [
             ("workspace", workspace.to_string()),
@@ -192,7 +191,10 @@
             ("lost", ledger.lost.to_string()),
             (
                 "deferred",
-                change.deferred.map_or(0, |cover| cover.tokens).to_string(),
+                change
+                    .deferred
+                    .map_or(0, |reserve| reserve.tokens)
+                    .to_string(),
             ),
             ("recovered", recovered.to_string()),
             ("revision", revision.to_string()),
@@ -206,14 +208,14 @@
     serde_json::to_value(ledger).map_err(|error| StoreFailure::Malformed(error.to_string()))
 }
 
-/// The object of a workspace's ledger. Characters that could mean something in a path are spelled
-/// by their numbers, so that no two workspaces share a ledger.
+/// Returns the object name of a workspace's ledger. Characters with a possible meaning in paths are
+/// replaced by their byte values, so that no two workspaces share a ledger.
 fn object_name(workspace: &WorkspaceName) -> String {
     let mut name = "ledger-".to_owned();
     for byte in workspace.as_str().bytes() {
         match byte {
             b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' => name.push(char::from(byte)),
-            // Writing to a string cannot fail.
+            // Writing to a `String` cannot fail.
             _ => drop(write!(name, "_{byte:02x}")),
         }
     }
--- a/crates/beechsaddle/src/gateway/ledger_wait.rs
+++ b/crates/beechsaddle/src/gateway/ledger_wait.rs
@@ -1,4 +1,4 @@
-//! The `ledger_wait` module provides the queue of calls that wait for tokens.
+//! The `ledger_wait` module provides the registration of requests that wait for tokens.
 
 use std::cell::Cell;
 
@@ -6,7 +6,7 @@
 
 use super::gateway_state::GatewayState;
 
-/// A call in the queue for tokens; dropping it leaves the queue.
+/// A request that may wait for tokens; dropping it ends the wait.
 pub(super) struct LedgerWait<'a> {
     state: &'a GatewayState,
     workspace: &'a WorkspaceName,
@@ -15,7 +15,7 @@
 }
 
 impl<'a> LedgerWait<'a> {
-    /// A call that does not wait yet.
+    /// Creates a request that does not wait yet.
     pub(super) fn start(
         state: &'a GatewayState,
         workspace: &'a WorkspaceName,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Has it wait, if it does not yet.
+    /// Registers the request as waiting, unless it already is.
     pub(super) fn begin(&self) {
         if !self.is_waiting.replace(true) {
             let now = self.state.now();
--- a/crates/beechsaddle/src/gateway/limits/permit_client.rs
+++ b/crates/beechsaddle/src/gateway/limits/permit_client.rs
@@ -12,7 +12,7 @@
 
 use super::limit_manager::{PermitRequest, answer_permit_request};
 use crate::gateway::gateway_state::GatewayState;
-use crate::gateway::token_lending::{LOAN_SPAN, mark_down};
+use crate::gateway::token_lending::{LOAN_TIMEOUT, mark_down};
 
 /// How long a call waits for a permit before it tries another target: some round trips.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
@@ -93,7 +93,7 @@
     });
     let is_granted = !matches!(reply, PermitReply::Wait { .. });
     if !is_granted {
-        state.metrics.places_refused.inc();
+        state.metrics.permits_refused.inc();
     }
     is_granted
 }
@@ -121,8 +121,8 @@
     let secret = state.lending.secret();
     let now = state.now();
     let links = &state.lending.links;
-    let sent = links.ask_place(&peer, &secret, now, &request);
-    let failure = match timeout(LOAN_SPAN, sent).await {
+    let sent = links.request_permit(&peer, &secret, now, &request);
+    let failure = match timeout(LOAN_TIMEOUT, sent).await {
         Ok(Ok(reply)) => return Some(reply),
         Ok(Err(error)) => error,
         Err(_) => "no answer in time".to_owned(),
--- a/crates/beechsaddle/src/gateway/mod.rs
+++ b/crates/beechsaddle/src/gateway/mod.rs
@@ -1,31 +1,31 @@
 //! The `gateway` module provides a router that serves the platform's routes.
 //!
-//! One thread forwards calls, follows the store and keeps the escrow: it waits for the network
-//! nearly all of the time, and handing each call between threads would cost more than the call. A
-//! second thread writes logs. Decisions are `beechsaddle-core`'s, wire names `beechsaddle-platform`'s.
+//! One thread forwards calls, follows the store and manages the escrow: it waits for the network nearly all
+//! of the time, and passing each call between threads would cost more than the call. A second thread writes
+//! logs. Decisions are made in `beechsaddle-core`; wire names are defined in `beechsaddle-platform`.
 
 mod answer_body;
 mod attempt_guard;
+mod cached_ledger;
 mod call_context;
 mod call_exchange;
 mod call_record;
 mod caller_listener;
 mod changes;
-mod clock_desk;
+mod clock_manager;
 mod crashes;
-mod escrow_keeper;
 mod event_splitter;
 mod gateway_metrics;
 mod gateway_process;
 mod gateway_settings;
 mod gateway_state;
 mod host_listener;
-mod kept_ledger;
-mod ledger_notes;
 mod ledger_store;
+mod ledger_sync;
+mod ledger_updates;
 mod ledger_wait;
 mod limits;
-mod line_budget;
+mod log_sampler;
 mod peer_codec;
 mod peer_link;
 mod peer_server;
--- a/crates/beechsaddle/src/gateway/peer_link.rs
+++ b/crates/beechsaddle/src/gateway/peer_link.rs
@@ -1,4 +1,5 @@
-//! The `peer_link` module provides connections to other routers: loans, returns, and what changes in the store.
+//! The `peer_link` module provides connections to other routers, for loans, returns and changes in the
+//! store.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -26,32 +27,31 @@
 
 use super::changes::{FollowAnswer, FollowReply};
 use super::limits::PermitRequest;
-use super::peer_codec::{time_before, write_note};
+use super::peer_codec::{time_before, write_crash};
 
-/// How long connecting to a router may take: some hundred round trips of a region.
-const CONNECT_SPAN: Duration = Duration::from_millis(150);
+/// Timeout of connecting to a router: some hundred round trips within a region.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// What a lender answers.
+/// The answer of a lender.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LenderAnswer {
-    /// What became of the request.
+    /// The outcome of the request.
     pub(super) reply: LoanReply,
-    /// What all routers took of the total, as the lender saw it; `None` if it has not.
+    /// The tokens that all routers together took of the total, as known to the lender; `None` if unknown.
     pub(super) taken: Option<u64>,
 }
 
-/// Why tokens were not handed back.
+/// Why a return of tokens failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ReturnFailure {
-    /// The other router did not take them.
+    /// The other router did not accept the tokens.
     Refused,
     /// Nothing was sent.
     Unsent(String),
-    /// Whether it has them is not known.
+    /// It is unknown whether the other router received the tokens.
     Unknown(String),
 }
 
-/// A connection to a router.
 struct PeerLink {
     client: router_peer::Client,
     rpc: AbortOnDropHandle<()>,
@@ -60,7 +60,7 @@
 impl PeerLink {
     fn new(client: router_peer::Client, system: RpcSystem<Side>) -> Self {
         let rpc = spawn_local(async move {
-            // What ends the connection also ends the loan that is under way, which tells of it.
+            // An error that closes the connection also fails the calls in progress, which report it.
             let _ = system.await;
         });
         PeerLink {
@@ -95,15 +95,15 @@
     }
 }
 
-/// Connections to routers, one each.
+/// Connections to routers, one for each.
 #[derive(Default)]
 pub(super) struct PeerLinks {
     links: RefCell<BTreeMap<HostName, Rc<PeerLink>>>,
 }
 
 impl PeerLinks {
-    /// Asks a router for a loan. A failure does not tell whether it has given the tokens up; those are
-    /// lost then.
+    /// Requests a loan from a router. After an error the lender may have debited the tokens; those are
+    /// lost.
     pub(super) async fn borrow_tokens(
         &self,
         peer: &PeerRecord,
@@ -135,37 +135,37 @@
             Ok(LoanOutcome::LedgerAway) => LoanReply::LedgerAway,
             Err(error) => return Err(error.to_string()),
         };
-        let taken = known_taken(answer.get_taken());
+        let taken = decode_taken(answer.get_taken());
         Ok(LenderAnswer { reply, taken })
     }
 
-    /// Hands tokens back to the router that keeps their workspace; gives what all routers took of the
-    /// total, if that one knows it.
+    /// Returns tokens to the allocator of their workspace. The result is what all routers together took of
+    /// the total, if the allocator knows it.
     pub(super) async fn return_tokens(
         &self,
         peer: &PeerRecord,
         secret: &str,
         workspace: &WorkspaceName,
-        handed: LoanReturn,
+        loan_return: LoanReturn,
     ) -> Result<Option<u64>, ReturnFailure> {
         let link = self.open(peer).await.map_err(ReturnFailure::Unsent)?;
         let mut call = link.lender().give_back_request();
         let mut parameters = call.get();
         parameters.set_secret(secret);
         parameters.set_workspace(workspace.as_str());
-        parameters.set_tokens(handed.tokens);
-        parameters.set_used(handed.used);
+        parameters.set_tokens(loan_return.tokens);
+        parameters.set_used(loan_return.used);
         let unknown = |error: capnp::Error| ReturnFailure::Unknown(error.to_string());
         let reply = call.send().promise.await.map_err(unknown)?;
         let answer = reply.get().map_err(unknown)?;
         match answer.get_is_taken() {
-            true => Ok(known_taken(answer.get_taken())),
+            true => Ok(decode_taken(answer.get_taken())),
             false => Err(ReturnFailure::Refused),
         }
     }
 
-    /// Tells a router what was written of a workspace's ledger; `ledger` is as it lies in the store.
-    pub(super) async fn note_ledger(
+    /// Sends a written ledger of a workspace to a router; `ledger` is the JSON text as in the store.
+    pub(super) async fn send_ledger(
         &self,
         peer: &PeerRecord,
         secret: &str,
@@ -182,14 +182,14 @@
         parameters.set_ledger(ledger);
         match call.send().promise.await {
             Ok(_) => Ok(()),
-            // A router of an older version does not know the call, and looks after the ledger by itself.
+            // Routers of older versions do not support the call, and read the ledger themselves.
             Err(error) if error.kind == capnp::ErrorKind::Unimplemented => Ok(()),
             Err(error) => Err(error.to_string()),
         }
     }
 
-    /// Asks a router what changed after a revision.
-    pub(super) async fn follow_news(
+    /// Requests the changes after a revision from a router.
+    pub(super) async fn follow_changes(
         &self,
         peer: &PeerRecord,
         secret: &str,
@@ -197,7 +197,7 @@
         revision: u64,
         wait: Duration,
     ) -> Result<FollowAnswer, String> {
-        let kind = followed_kind(kind).ok_or("this kind is not passed on")?;
+        let kind = followed_kind(kind).ok_or("objects of this kind are not relayed")?;
         let link = self.open(peer).await?;
         let mut call = link.relay().follow_request();
         let mut parameters = call.get();
@@ -225,49 +225,50 @@
         })
     }
 
-    /// Tells a router of crashes; `is_spread` tells it that all of its domain are told.
-    pub(super) async fn note_crashes(
+    /// Sends crash reports to a router; `is_broadcast` states that this router sends them to the receiver's
+    /// whole domain itself.
+    pub(super) async fn send_crashes(
         &self,
         peer: &PeerRecord,
         secret: &str,
         now: ClockTime,
         reports: &[CrashReport],
-        is_spread: bool,
+        is_broadcast: bool,
     ) -> Result<(), String> {
         let link = self.open(peer).await?;
         let mut call = link.crash_listener().note_crashes_request();
         let mut parameters = call.get();
         parameters.set_secret(secret);
-        parameters.set_is_spread(is_spread);
-        let mut notes = parameters.init_notes(reports.len() as u32);
-        for (index, sighting) in reports.iter().enumerate() {
-            write_note(notes.reborrow().get(index as u32), now, sighting);
+        parameters.set_is_spread(is_broadcast);
+        let mut messages = parameters.init_notes(reports.len() as u32);
+        for (index, report) in reports.iter().enumerate() {
+            write_crash(messages.reborrow().get(index as u32), now, report);
         }
         match call.send().promise.await {
             Ok(_) => Ok(()),
-            // A router of an older version does not know the call, and refuses no request.
+            // Routers of older versions do not support the call, and block no requests.
             Err(error) if error.kind == capnp::ErrorKind::Unimplemented => Ok(()),
             Err(error) => Err(error.to_string()),
         }
     }
 
-    /// Asks a router for a place at a target.
-    pub(super) async fn ask_place(
+    /// Requests a permit for one request to a target.
+    pub(super) async fn request_permit(
         &self,
         peer: &PeerRecord,
         secret: &str,
         now: ClockTime,
-        question: &PermitRequest,
+        request: &PermitRequest,
     ) -> Result<PermitReply, String> {
         let link = self.open(peer).await?;
         let mut call = link.limit_share().take_place_request();
         let mut parameters = call.get();
         parameters.set_secret(secret);
-        parameters.set_target(question.target.name.as_str());
-        parameters.set_started(question.target.started.unwrap_or(0));
-        parameters.set_per_s(question.limit.per_s.unwrap_or(0.0));
-        parameters.set_is_free(question.limit.per_s.is_none());
-        parameters.set_age_ms(now.since(question.limit.received_at));
+        parameters.set_target(request.target.name.as_str());
+        parameters.set_started(request.target.started.unwrap_or(0));
+        parameters.set_per_s(request.limit.per_s.unwrap_or(0.0));
+        parameters.set_is_free(request.limit.per_s.is_none());
+        parameters.set_age_ms(now.since(request.limit.received_at));
         let reply = call.send().promise.await;
         let reply = reply.map_err(|error| error.to_string())?;
         let answer = reply.get().map_err(|error| error.to_string())?;
@@ -284,7 +285,8 @@
         }
     }
 
-    /// Asks a router for its clocks; `None` from one of an older version, which does not know the call.
+    /// Requests the clock reading of a router. Returns `None` if it runs an older version without this
+    /// call.
     pub(super) async fn read_clock(
         &self,
         peer: &PeerRecord,
@@ -306,22 +308,22 @@
     }
 
     /// Closes the connection to a router, if there is one.
-    pub(super) fn forget(&self, host: &HostName) {
+    pub(super) fn close(&self, host: &HostName) {
         self.links.borrow_mut().remove(host);
     }
 
     async fn open(&self, peer: &PeerRecord) -> Result<Rc<PeerLink>, String> {
-        let known = self.links.borrow().get(&peer.host).cloned();
-        if let Some(link) = known
+        let existing = self.links.borrow().get(&peer.host).cloned();
+        if let Some(link) = existing
             && !link.rpc.is_finished()
         {
             return Ok(link);
         }
-        let address = peer.address.ok_or("it lends nothing")?;
-        let stream = match timeout(CONNECT_SPAN, TcpStream::connect(address)).await {
+        let address = peer.address.ok_or("the router has no peer address")?;
+        let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(error.to_string()),
-            Err(_) => return Err("no connection in time".to_owned()),
+            Err(_) => return Err("connecting timed out".to_owned()),
         };
         stream
             .set_nodelay(true)
@@ -343,8 +345,8 @@
     }
 }
 
-/// What a router says that all took of a total; 0 means that it does not know.
-fn known_taken(taken: u64) -> Option<u64> {
+/// Decodes what all routers together took of a total; 0 means that the sender does not know.
+fn decode_taken(taken: u64) -> Option<u64> {
     (taken > 0).then_some(taken)
 }
 
--- a/crates/beechsaddle/src/gateway/peer_server.rs
+++ b/crates/beechsaddle/src/gateway/peer_server.rs
@@ -1,4 +1,5 @@
-//! The `peer_server` module provides what this router answers others: loans, returns, and what changes in the store.
+//! The `peer_server` module provides the answers to other routers, for loans, returns and changes in the
+//! store.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,12 +24,12 @@
 use super::changes::{FollowReply, serve_follow};
 use super::crashes::receive_crash_reports;
 use super::gateway_state::GatewayState;
-use super::ledger_notes::note_ledger;
+use super::ledger_updates::receive_ledger;
 use super::limits::{PermitRequest, answer_permit_request};
-use super::peer_codec::{read_incarnation, read_note, time_before};
+use super::peer_codec::{read_crash, read_incarnation, time_before};
 use super::token_lender::lend_tokens;
 
-/// How long to wait after a failed accept.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Serves other routers until the process ends.
@@ -48,7 +49,7 @@
 }
 
 async fn serve_peer(stream: TcpStream, peer: SocketAddr, state: Rc<GatewayState>) {
-    // A call waits for each of these small messages.
+    // The messages are small and calls wait for them.
     if stream.set_nodelay(true).is_err() {
         return;
     }
@@ -62,18 +63,18 @@
     );
     let server = PeerServer { state, peer };
     let client: router_peer::Client = capnp_rpc::new_client(server);
-    // A borrower that leaves closes the connection; there is nothing to mend on this side.
+    // A borrower that terminates closes the connection, which needs no handling here.
     let _ = RpcSystem::new(Box::new(network), Some(client.client)).await;
 }
 
-/// This router as one peer sees it.
+/// The server of one connection from a peer.
 struct PeerServer {
     state: Rc<GatewayState>,
     peer: SocketAddr,
 }
 
 impl PeerServer {
-    /// Refuses whoever does not know the secret of the fleet.
+    /// Rejects peers that do not know the fleet's secret.
     fn check_secret(&self, secret: capnp::text::Reader<'_>) -> Result<(), capnp::Error> {
         let own = self.state.lending.secret();
         let is_known = !own.is_empty() && bool::from(own.as_bytes().ct_eq(secret.as_bytes()));
@@ -86,7 +87,7 @@
         Err(capnp::Error::failed("wrong secret".to_owned()))
     }
 
-    /// What all routers took of a total, for a borrower; 0 if that is not known here.
+    /// Returns what all routers together took of a total, or 0 if unknown.
     fn taken_of(&self, workspace: &WorkspaceName) -> u64 {
         let escrow = self.state.escrow.borrow();
         escrow.taken_of(workspace).unwrap_or(0)
@@ -143,19 +144,19 @@
         let parameters = parameters.get()?;
         self.check_secret(parameters.get_secret()?)?;
         let workspace = WorkspaceName::new(parameters.get_workspace()?.to_str()?);
-        let handed = LoanReturn {
+        let loan_return = LoanReturn {
             tokens: parameters.get_tokens(),
             used: parameters.get_used(),
         };
         let mut escrow = self.state.escrow.borrow_mut();
-        let is_taken = escrow.take_back(self.state.now(), &workspace, handed);
+        let is_taken = escrow.take_back(self.state.now(), &workspace, loan_return);
         drop(escrow);
         self.state.escrow_changed.notify_waiters();
         let fields = [
             ("workspace", workspace.to_string()),
             ("peer", self.peer.ip().to_string()),
             ("is_taken", is_taken.to_string()),
-            ("tokens", handed.tokens.to_string()),
+            ("tokens", loan_return.tokens.to_string()),
         ];
         let report = &self.state.report;
         report.log(LogLevel::Info, "tokens_taken_back", fields);
@@ -174,7 +175,7 @@
         self.check_secret(parameters.get_secret()?)?;
         let workspace = WorkspaceName::new(parameters.get_workspace()?.to_str()?);
         let (revision, ledger) = (parameters.get_revision(), parameters.get_ledger()?);
-        note_ledger(&self.state, workspace, revision, ledger).map_err(|error| {
+        receive_ledger(&self.state, workspace, revision, ledger).map_err(|error| {
             let fields = [
                 ("peer", self.peer.to_string()),
                 ("error", error.to_string()),
@@ -201,20 +202,20 @@
         let wait = Duration::from_millis(parameters.get_wait_ms().into());
         let revision = parameters.get_revision();
         let answer = serve_follow(&self.state, kind, revision, wait).await;
-        let mut told = results.get();
-        told.set_revision(answer.revision);
-        told.set_age_ms(answer.age_ms);
+        let mut response = results.get();
+        response.set_revision(answer.revision);
+        response.set_age_ms(answer.age_ms);
         match answer.reply {
             FollowReply::News(batches) => {
-                told.set_outcome(FollowOutcome::News);
-                let mut bodies = told.init_batches(batches.len() as u32);
+                response.set_outcome(FollowOutcome::News);
+                let mut bodies = response.init_batches(batches.len() as u32);
                 for (index, batch) in batches.iter().enumerate() {
                     bodies.set(index as u32, &batch.body);
                 }
             }
-            FollowReply::Gone => told.set_outcome(FollowOutcome::Gone),
-            FollowReply::Away => told.set_outcome(FollowOutcome::Away),
-            FollowReply::Beginning => told.set_outcome(FollowOutcome::Beginning),
+            FollowReply::Gone => response.set_outcome(FollowOutcome::Gone),
+            FollowReply::Away => response.set_outcome(FollowOutcome::Away),
+            FollowReply::Beginning => response.set_outcome(FollowOutcome::Beginning),
         }
         Ok(())
     }
@@ -230,8 +231,8 @@
         self.check_secret(parameters.get_secret()?)?;
         let now = self.state.now();
         let mut reports = Vec::new();
-        for note in parameters.get_notes()?.iter() {
-            reports.push(read_note(note, now)?);
+        for message in parameters.get_notes()?.iter() {
+            reports.push(read_crash(message, now)?);
         }
         receive_crash_reports(&self.state, reports, parameters.get_is_spread());
         Ok(())
@@ -247,7 +248,7 @@
         let parameters = parameters.get()?;
         self.check_secret(parameters.get_secret()?)?;
         let now = self.state.now();
-        let question = PermitRequest {
+        let request = PermitRequest {
             target: read_incarnation(parameters.get_target()?, parameters.get_started())?,
             limit: TargetLimit {
                 per_s: (!parameters.get_is_free()).then_some(parameters.get_per_s()),
@@ -255,7 +256,7 @@
             },
         };
         let mut answer = results.get();
-        match answer_permit_request(&self.state, &question) {
+        match answer_permit_request(&self.state, &request) {
             PermitReply::Granted => answer.set_outcome(PlaceOutcome::Granted),
             PermitReply::Wait { wait_ms } => {
                 answer.set_outcome(PlaceOutcome::Wait);
--- a/crates/beechsaddle/src/gateway/settings_watch.rs
+++ b/crates/beechsaddle/src/gateway/settings_watch.rs
@@ -1,4 +1,4 @@
-//! The `settings_watch` module provides the taking over of changed settings.
+//! The `settings_watch` module provides the reload of changed settings.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -11,10 +11,10 @@
 use super::gateway_settings::GatewaySettings;
 use super::gateway_state::GatewayState;
 
-/// How often the file is looked at without a signal.
-const LOOK_SPAN: Duration = Duration::from_secs(2);
+/// Interval between checks of the file without a signal.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Takes over changed settings, with SIGHUP and without.
+/// Reloads settings when the file changes and on SIGHUP.
 pub(super) async fn run_settings_watch(path: PathBuf, state: Rc<GatewayState>) {
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
@@ -26,7 +26,7 @@
     };
     let mut known = std::fs::read_to_string(&path).ok();
     loop {
-        let is_signalled = timeout(LOOK_SPAN, hangup.recv()).await.is_ok();
+        let is_signalled = timeout(POLL_INTERVAL, hangup.recv()).await.is_ok();
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => Some(text),
             Err(error) => {
@@ -38,11 +38,11 @@
             continue;
         }
         known = text;
-        take_over(&path, &state);
+        apply_settings(&path, &state);
     }
 }
 
-fn take_over(path: &std::path::Path, state: &GatewayState) {
+fn apply_settings(path: &std::path::Path, state: &GatewayState) {
     match GatewaySettings::try_load(path) {
         Ok(settings) => {
             let before = state.settings();
@@ -59,7 +59,7 @@
                 .report
                 .log(LogLevel::Info, "settings_reloaded", fields);
         }
-        // The settings in force stay.
+        // The settings in force remain.
         Err(findings) => log_unreadable(state, &findings.to_string()),
     }
 }
--- a/crates/beechsaddle/src/gateway/status_view.rs
+++ b/crates/beechsaddle/src/gateway/status_view.rs
@@ -1,4 +1,4 @@
-//! The `status_view` module provides what operators are told of a router's beliefs.
+//! The `status_view` module provides a router's status for operators.
 
 use beechsaddle_core::gateway::{
     ConfigStatus, GatewayPeerStatus, GatewayStatus, GatewayTargetStatus, RosterEntry,
@@ -8,7 +8,7 @@
 
 use super::gateway_state::{GatewayPhase, GatewayState};
 
-/// What the router believes now, each item with its age.
+/// Returns the current status, with the age of each item.
 pub(super) fn view_status(state: &GatewayState) -> GatewayStatus {
     let now = state.now();
     let ring = state.lending.ring.borrow();
--- a/crates/beechsaddle/src/gateway/store_call.rs
+++ b/crates/beechsaddle/src/gateway/store_call.rs
@@ -1,34 +1,34 @@
-//! The `store_call` module provides the words for calls to the store, for logs and metrics.
+//! The `store_call` module provides the names of store calls in logs and metrics.
 
 use beechsaddle_platform::ObjectKind;
 
-/// What a router asks the store.
+/// A call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StoreCall {
-    /// All objects of a kind.
+    /// Lists all objects of a kind.
     List(ObjectKind),
-    /// Changes of a kind.
+    /// Waits for changes of a kind.
     Watch(ObjectKind),
-    /// One ledger.
+    /// Reads the current ledger.
     ReadLedger,
-    /// One ledger as it was some seconds ago.
+    /// Reads a ledger that may be some seconds old.
     ReadStaleLedger,
-    /// A change of a ledger.
+    /// Writes a change to a ledger.
     WriteLedger,
-    /// The entry or the secret of routers.
+    /// Creates a ledger, or writes a router's entry or the shared secret of routers.
     Register,
-    /// The same as it was some seconds ago.
+    /// Reads a router's entry or the shared secret, which may be some seconds old.
     ReadStaleEntry,
-    /// Crashes as they lie there.
+    /// Reads the stored crash reports.
     ReadCrashes,
-    /// A change of them.
+    /// Writes a change to the stored crash reports.
     WriteCrashes,
-    /// Whether the store answers.
+    /// Checks whether the store answers.
     Probe,
 }
 
 impl StoreCall {
-    /// A word for logs and metrics.
+    /// Returns the name in logs and metrics.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             StoreCall::List(ObjectKind::Config) => "list_config",
--- a/crates/beechsaddle/src/gateway/store_tally.rs
+++ b/crates/beechsaddle/src/gateway/store_tally.rs
@@ -1,4 +1,4 @@
-//! The `store_tally` module provides the number of calls to the store, a line every few seconds.
+//! The `store_tally` module provides counts of store calls, logged in one line every few seconds.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,46 +12,46 @@
 use super::gateway_state::GatewayState;
 use super::store_call::StoreCall;
 
-/// How often calls to the store are summed up in the log: fine enough to see what an outage cost, and one line
-/// in place of hundreds.
-const TALLY_SPAN: Duration = Duration::from_secs(5);
+/// Interval between log lines with counts of store calls: short enough to show the cost of an outage, at
+/// one line instead of hundreds.
+const TALLY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What was asked, and what came of it.
-type CallWords = (&'static str, &'static str);
+/// The name of a call and of its outcome.
+type CallLabels = (&'static str, &'static str);
 
-/// Calls to the store since the last line.
+/// Counts of store calls since the last log line.
 #[derive(Debug, Default)]
 pub(super) struct StoreTally {
-    counts: RefCell<BTreeMap<CallWords, u64>>,
+    counts: RefCell<BTreeMap<CallLabels, u64>>,
 }
 
 impl StoreTally {
-    /// Counts a call.
-    pub(super) fn note(&self, call: StoreCall, what: &'static str) {
+    pub(super) fn record(&self, call: StoreCall, what: &'static str) {
         let mut counts = self.counts.borrow_mut();
         *counts.entry((call.as_str(), what)).or_default() += 1;
     }
 
-    /// The calls since this was last asked, as `call/outcome:count`, or `None` if there were none.
+    /// Returns the counts since the last log line as `call/outcome:count` and resets them; `None` if there
+    /// were no calls.
     fn take_text(&self) -> Option<String> {
         let counts = take(&mut *self.counts.borrow_mut());
-        let words = counts.iter();
-        let words = words.map(|((call, what), count)| format!("{call}/{what}:{count}"));
-        let words: Vec<_> = words.collect();
-        (!words.is_empty()).then(|| words.join(" "))
+        let entries = counts.iter();
+        let entries = entries.map(|((call, what), count)| format!("{call}/{what}:{count}"));
+        let entries: Vec<_> = entries.collect();
+        (!entries.is_empty()).then(|| entries.join(" "))
     }
 }
 
-/// Sums up calls to the store for ever.
+/// Logs the counts periodically, for as long as the process runs.
 pub(super) async fn run_store_tally(state: Rc<GatewayState>) {
     loop {
-        sleep(TALLY_SPAN).await;
+        sleep(TALLY_INTERVAL).await;
         state.log_store_tally();
     }
 }
 
 impl GatewayState {
-    /// Logs the calls to the store since the last line.
+    /// Logs the counts of store calls since the last line.
     pub(super) fn log_store_tally(&self) {
         if let Some(calls) = self.store_tally.take_text() {
             let fields = [("calls", calls)];
--- a/crates/beechsaddle/src/gateway/stream_relay.rs
+++ b/crates/beechsaddle/src/gateway/stream_relay.rs
@@ -241,7 +241,7 @@
         if let Some(reservation) = &self.reservation {
             // The target does not report tokens per event; each event is charged the most it can
             // hold.
-            reservation.note_delivered(self.events.saturating_mul(self.call.rule.event_tokens));
+            reservation.record_delivered(self.events.saturating_mul(self.call.rule.event_tokens));
         }
         if part.bytes.is_empty() {
             return None;
--- a/crates/beechsaddle/src/gateway/token_borrow.rs
+++ b/crates/beechsaddle/src/gateway/token_borrow.rs
@@ -1,5 +1,5 @@
-//! The `token_borrow` module provides the asking of other routers for tokens: the keeper of the domain, the next in line
-//! where it is gone, and keepers of other domains where the ledger cannot help.
+//! The `token_borrow` module provides requests for tokens to other routers: the allocator of the own
+//! domain, its successor if it is down, and the allocators of other domains if the ledger does not suffice.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,133 +13,142 @@
 
 use super::gateway_state::GatewayState;
 use super::peer_link::LenderAnswer;
-use super::token_lending::{LOAN_SPAN, LoanFailure, mark_down, update_roles};
+use super::token_lending::{LOAN_TIMEOUT, LoanFailure, mark_down, update_roles};
 
-/// How long routers of the own domain are asked in turn, in milliseconds. After a loss of many most of those
-/// in line refuse a connection at once, and the next that runs is found in time for the call that waits.
-const LINE_MS: u64 = 400;
+/// How long routers of the own domain are tried one after the other, in milliseconds. After the loss of
+/// many routers, most candidates refuse the connection at once, so a live one is found in time for the
+/// waiting call.
+const DOMAIN_SEARCH_MS: u64 = 400;
 
-/// How long to wait before a keeper that had too little is asked again: several writes of the ledger.
-const SHORT_PAUSE: Duration = Duration::from_millis(150);
+/// Pause before another request to an allocator that had too little: the duration of several ledger
+/// writes.
+const SHORT_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// How long a loan is taken that came too late for the calls that waited: longer than answers queue at a full link.
-const LATE_LOAN_SPAN: Duration = Duration::from_secs(10);
+/// How long the answer to a loan request is awaited after its calls timed out: longer than answers are
+/// queued at a congested link.
+const LATE_LOAN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often a keeper that has too little is asked: for as long as calls wait for tokens.
-const SHORT_ROUNDS: usize = 3;
+/// Maximum number of requests to an allocator that has too little. Together they last as long as calls wait
+/// for tokens.
+const SHORT_ATTEMPTS_MAX: usize = 3;
 
-/// What came of asking in the own domain.
+/// The outcome of the requests within the own domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum DomainAnswer {
-    /// Tokens came, or are known to be used up, or nothing is wanted any more.
-    Helped,
-    /// The keeper has too little now.
+enum DomainOutcome {
+    /// Tokens arrived, the total is exhausted, or no tokens are wanted any more.
+    Resolved,
+    /// The allocator has too little at the moment.
     Short,
-    /// Neither the keeper nor this router reaches the ledger.
-    LedgerAway,
-    /// There is no keeper but this router.
-    Nobody,
+    /// Neither the allocator nor this router can reach the ledger.
+    LedgerUnreachable,
+    /// This router is the allocator.
+    NoOtherAllocator,
 }
 
-/// Asks until no call waits, or asking does not help.
-pub(super) async fn ask_for_tokens(state: &Rc<GatewayState>, workspace: &WorkspaceName) {
-    for _ in 0..SHORT_ROUNDS {
-        match ask_domain(state, workspace).await {
-            DomainAnswer::Helped => return,
-            DomainAnswer::Short => sleep(SHORT_PAUSE).await,
-            DomainAnswer::LedgerAway => return record_refused(state, workspace),
-            DomainAnswer::Nobody => return ask_as_keeper(state, workspace).await,
+/// Requests tokens until no call waits or further requests are useless.
+pub(super) async fn request_tokens(state: &Rc<GatewayState>, workspace: &WorkspaceName) {
+    for _ in 0..SHORT_ATTEMPTS_MAX {
+        match request_from_domain(state, workspace).await {
+            DomainOutcome::Resolved => return,
+            DomainOutcome::Short => sleep(SHORT_RETRY_PAUSE).await,
+            DomainOutcome::LedgerUnreachable => return record_refusal(state, workspace),
+            DomainOutcome::NoOtherAllocator => return request_as_allocator(state, workspace).await,
         }
     }
 }
 
-/// Asks whoever keeps the workspace for this domain, and the next in line where that one does not answer.
+/// Requests tokens from the domain's allocator, or from its successor if it does not answer.
 ///
-/// A keeper that has too little is asking the ledger already. A borrower that asked it too would find
-/// the same: dozens of them then meet at the ledger, and the keeper's own write is the one that does
-/// not come through. Where the keeper cannot reach the ledger and this router can, the next in line that
-/// reaches it is asked, which is this one in the end. Where neither can, no router writes in the keeper's
-/// place: all of a domain did so when the store came back, took what the keeper took as well, and gave it
-/// back in as many writes.
-async fn ask_domain(state: &Rc<GatewayState>, workspace: &WorkspaceName) -> DomainAnswer {
-    let until = state.now().plus_ms(LINE_MS);
+/// An allocator that has too little already requests more from the ledger, so the borrower does not: dozens
+/// of borrowers would conflict with each other and with the allocator's write, and find the same shortage.
+/// If the allocator cannot reach the ledger but this router can, the next candidates are tried, in the end
+/// this router itself. If neither can, no router takes the allocator's place: otherwise every router of a
+/// domain writes when the store comes back, takes tokens that the allocator takes too, and needs as many
+/// writes to give them back.
+async fn request_from_domain(state: &Rc<GatewayState>, workspace: &WorkspaceName) -> DomainOutcome {
+    let until = state.now().plus_ms(DOMAIN_SEARCH_MS);
     while state.now() < until {
         let allocator = {
             let ring = state.lending.ring.borrow();
             ring.allocator(state.now(), workspace).cloned()
         };
         let Some(allocator) = allocator else {
-            return DomainAnswer::Nobody;
+            return DomainOutcome::NoOtherAllocator;
         };
-        match ask_peer(state, &allocator, workspace).await {
-            Ok(()) => return DomainAnswer::Helped,
-            Err(LoanFailure::Short) => return DomainAnswer::Short,
-            Err(LoanFailure::LedgerAway) if state.store_health.is_steady(state.now()) => {
+        match request_from_peer(state, &allocator, workspace).await {
+            Ok(()) => return DomainOutcome::Resolved,
+            Err(LoanFailure::Short) => return DomainOutcome::Short,
+            Err(LoanFailure::LedgerUnreachable) if state.store_health.is_steady(state.now()) => {
                 let mut ring = state.lending.ring.borrow_mut();
                 ring.mark_ledger_unreachable(state.now(), &allocator.host);
                 drop(ring);
                 update_roles(state);
             }
-            Err(LoanFailure::LedgerAway) => return DomainAnswer::LedgerAway,
+            Err(LoanFailure::LedgerUnreachable) => return DomainOutcome::LedgerUnreachable,
             Err(LoanFailure::Unreachable) => {}
         }
     }
-    DomainAnswer::Short
+    DomainOutcome::Short
 }
 
-/// This router keeps the workspace: it asks the ledger, and while that is away the keepers of other domains.
+/// Takes the allocator role: requests tokens from the ledger or, if it is unreachable, from the allocators
+/// of other domains.
 ///
-/// They are asked as well where the ledger has too little. The last part of a total lies with keepers in rests: each
-/// gave them back in writes of its own for others to find, and calls were refused meanwhile.
-async fn ask_as_keeper(state: &Rc<GatewayState>, workspace: &WorkspaceName) {
+/// The other allocators are also tried if the ledger has too little. The last part of a total is spread
+/// over the allocators as remainders. If each first gave its remainder back in a ledger write, calls would
+/// be refused meanwhile.
+async fn request_as_allocator(state: &Rc<GatewayState>, workspace: &WorkspaceName) {
     state
         .escrow
         .borrow_mut()
         .set_role(workspace, EscrowRole::Allocator);
     state.escrow_wake.notify_one();
-    if state.is_ledger_away.get() {
-        if !ask_foreign(state, workspace).await {
-            record_refused(state, workspace);
+    if state.is_ledger_unreachable.get() {
+        if !request_from_other_domains(state, workspace).await {
+            record_refusal(state, workspace);
         }
     } else if state.escrow.borrow().is_uncovered(workspace) {
-        ask_for_remainders(state, workspace).await;
+        request_remainders(state, workspace).await;
     }
 }
 
-/// Asks the keepers of other domains for what they have left, unless none had any a moment ago.
-async fn ask_for_remainders(state: &Rc<GatewayState>, workspace: &WorkspaceName) {
-    let pauses = &state.lending.foreign_pauses;
+/// Requests the remainders of the allocators of other domains, unless they recently had none.
+async fn request_remainders(state: &Rc<GatewayState>, workspace: &WorkspaceName) {
+    let pauses = &state.lending.remainder_pauses;
     if pauses.borrow().is_paused(state.now(), workspace) {
         return;
     }
-    match ask_foreign(state, workspace).await {
+    match request_from_other_domains(state, workspace).await {
         true => pauses.borrow_mut().record_lent(workspace),
         false => pauses.borrow_mut().record_refused(state.now(), workspace),
     }
 }
 
-fn record_refused(state: &GatewayState, workspace: &WorkspaceName) {
+fn record_refusal(state: &GatewayState, workspace: &WorkspaceName) {
     let mut pauses = state.lending.pauses.borrow_mut();
     pauses.record_refused(state.now(), workspace);
 }
 
-/// Asks the keepers of other domains, which may hold more than they need just now; tells whether one
-/// helped.
-async fn ask_foreign(state: &Rc<GatewayState>, workspace: &WorkspaceName) -> bool {
-    let keepers: Vec<_> = {
+/// Requests tokens from the allocators of other domains, which may hold more than they currently need.
+/// Returns whether one succeeded.
+async fn request_from_other_domains(state: &Rc<GatewayState>, workspace: &WorkspaceName) -> bool {
+    let allocators: Vec<_> = {
         let ring = state.lending.ring.borrow();
-        let keepers = ring.foreign_allocators(state.now(), workspace);
-        keepers.into_iter().cloned().collect()
+        let allocators = ring.foreign_allocators(state.now(), workspace);
+        allocators.into_iter().cloned().collect()
     };
-    for allocator in keepers {
-        if ask_peer(state, &allocator, workspace).await.is_ok() {
+    for allocator in allocators {
+        if request_from_peer(state, &allocator, workspace)
+            .await
+            .is_ok()
+        {
             return true;
         }
     }
     false
 }
 
-async fn ask_peer(
+async fn request_from_peer(
     state: &Rc<GatewayState>,
     peer: &PeerRecord,
     workspace: &WorkspaceName,
@@ -150,10 +159,10 @@
         return Ok(());
     };
     let loan = begin_loan(state, peer, workspace, request);
-    let answer = match timeout(LOAN_SPAN, loan).await {
+    let answer = match timeout(LOAN_TIMEOUT, loan).await {
         Ok(Ok(Ok(answer))) => answer,
         Ok(Ok(Err(error))) => return Err(mark_down(state, peer, &error)),
-        Ok(Err(_)) => return Err(mark_down(state, peer, "the request was dropped")),
+        Ok(Err(_)) => return Err(mark_down(state, peer, "the loan task ended early")),
         Err(_) => return Err(mark_down(state, peer, "no answer in time")),
     };
     if state.lending.ring.borrow_mut().mark_up(&peer.host) {
@@ -161,11 +170,11 @@
         state.report.log(LogLevel::Info, "peer_regained", fields);
     }
     log_loan(state, peer, workspace, request, answer.reply, false);
-    take_answer(state, peer, workspace, request, answer)
+    apply_answer(state, peer, workspace, request, answer)
 }
 
-/// Asks for a loan in a task of its own, which goes on when the answer is no longer waited for: the lender may have
-/// given the tokens up, and they would be lost to the workspace.
+/// Requests a loan in a separate task, which continues after the borrower's timeout: the lender may already
+/// have debited the tokens, and they would be lost to the workspace.
 fn begin_loan(
     state: &Rc<GatewayState>,
     peer: &PeerRecord,
@@ -179,19 +188,19 @@
         let domain = state.settings().domain.clone();
         let links = &state.lending.links;
         let loan = links.borrow_tokens(&peer, &secret, &domain, &workspace, request);
-        let loan = match timeout(LATE_LOAN_SPAN, loan).await {
+        let loan = match timeout(LATE_LOAN_TIMEOUT, loan).await {
             Ok(loan) => loan,
-            Err(_) => Err("no answer at all".to_owned()),
+            Err(_) => Err("no answer within 10 s".to_owned()),
         };
         if let Err(Ok(answer)) = sender.send(loan) {
-            take_late(&state, &peer, &workspace, request, answer.reply);
+            apply_late_loan(&state, &peer, &workspace, request, answer.reply);
         }
     });
     receiver
 }
 
-/// Takes over a loan that came when it was no longer waited for.
-fn take_late(
+/// Credits a loan that arrived after the timeout.
+fn apply_late_loan(
     state: &GatewayState,
     peer: &PeerRecord,
     workspace: &WorkspaceName,
@@ -229,7 +238,7 @@
     state.report.log(LogLevel::Info, "tokens_borrowed", fields);
 }
 
-fn take_answer(
+fn apply_answer(
     state: &GatewayState,
     peer: &PeerRecord,
     workspace: &WorkspaceName,
@@ -247,14 +256,14 @@
             state.lending.pauses.borrow_mut().record_lent(workspace);
             Ok(())
         }
-        // A keeper of another domain does not know what the others have left.
+        // An allocator of another domain does not know the remainders of the others.
         LoanReply::Exhausted if peer.domain != state.settings().domain => Err(LoanFailure::Short),
         LoanReply::Exhausted => {
             escrow.record_exhausted(state.now(), workspace, request.least);
             Ok(())
         }
         LoanReply::Short => Err(LoanFailure::Short),
-        LoanReply::LedgerAway => Err(LoanFailure::LedgerAway),
+        LoanReply::LedgerAway => Err(LoanFailure::LedgerUnreachable),
     };
     if answer.reply != LoanReply::LedgerAway {
         let mut ring = state.lending.ring.borrow_mut();
--- a/crates/beechsaddle/src/gateway/token_lender.rs
+++ b/crates/beechsaddle/src/gateway/token_lender.rs
@@ -1,4 +1,4 @@
-//! The `token_lender` module provides the lending of tokens to other routers.
+//! The `token_lender` module provides loans of tokens to other routers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,16 +9,17 @@
 
 use super::gateway_state::GatewayState;
 use super::ledger_wait::LedgerWait;
-use super::token_lending::want_tokens;
+use super::token_lending::start_request;
 
-/// How long a borrower waits while this router asks the ledger, in milliseconds: a few tries of a
-/// write that meets others. The borrower's own limit is above it.
+/// How long a borrower waits while this router requests tokens from the ledger, in milliseconds: a few
+/// attempts of a conflicting write. The borrower's own timeout is longer.
 const LEDGER_WAIT_MS: u64 = 250;
 
-/// Lends, after asking the ledger if there is too little here.
+/// Lends tokens, after a request to the ledger if this router holds too little.
 ///
-/// While the ledger is away or has too little a keeper asks those of other domains, for all routers of its own. A
-/// router of another domain that asks then is answered from what is here: it asks all others by itself.
+/// While the ledger is unreachable or has too little, an allocator requests tokens from those of other
+/// domains, on behalf of its own domain. A request from another domain is then answered from the tokens
+/// held here, since the requesting router tries all other domains itself.
 pub(super) async fn lend_tokens(
     state: &Rc<GatewayState>,
     workspace: &WorkspaceName,
@@ -35,8 +36,8 @@
         if reply != LoanReply::Short {
             return reply;
         }
-        let is_away = state.is_ledger_away.get();
-        if (is_away && is_foreign) || state.lending.was_refused(now, workspace) {
+        let is_unreachable = state.is_ledger_unreachable.get();
+        if (is_unreachable && is_foreign) || state.lending.was_refused(now, workspace) {
             return LoanReply::LedgerAway;
         }
         if is_foreign && !is_covered(state, workspace, request.least) {
@@ -44,12 +45,12 @@
         }
         waiting.begin();
         state.escrow_wake.notify_one();
-        let is_outgrown = state.escrow.borrow().is_uncovered(workspace);
-        if is_away || is_outgrown || has_keeper(state, workspace) {
-            want_tokens(state, workspace);
+        let exceeds_ledger = state.escrow.borrow().is_uncovered(workspace);
+        if is_unreachable || exceeds_ledger || has_allocator(state, workspace) {
+            start_request(state, workspace);
         }
         if timeout_at(until, changed).await.is_err() {
-            return match state.is_ledger_away.get() {
+            return match state.is_ledger_unreachable.get() {
                 true => LoanReply::LedgerAway,
                 false => LoanReply::Short,
             };
@@ -57,25 +58,26 @@
     }
 }
 
-/// Notes a request once, before tokens are looked for perhaps several times.
+/// Records the demand of a request once; the attempts to lend may follow several times.
 fn record_request(state: &GatewayState, workspace: &WorkspaceName, request: LoanRequest) {
     let mut escrow = state.escrow.borrow_mut();
     escrow.record_request(state.now(), workspace, request);
 }
 
-/// Whether what nobody has taken covers a request, as far as this router knows.
+/// Whether the untaken part of the total covers a request, as far as this router knows.
 fn is_covered(state: &GatewayState, workspace: &WorkspaceName, tokens: u64) -> bool {
     let left = state.escrow.borrow().left_of(workspace);
     left.is_none_or(|left| left >= tokens)
 }
 
-/// Whether this router knows a keeper that it has to ask, as for a call of its own.
+/// Whether another router is the allocator and has to be tried first, as for a call of this router.
 ///
-/// Whoever asks found the routers before this one silent. This one has not met them and takes itself for
-/// a borrower yet: it would answer short for over a second, and calls would be refused with the store
-/// reachable. Asking either brings tokens or shows that the keeper is gone, which makes this router the
-/// keeper. Each router asks one that comes before it in the same order, so that no circle arises.
-fn has_keeper(state: &GatewayState, workspace: &WorkspaceName) -> bool {
+/// A borrower sends its request here only if the routers before this one in the order did not answer. This
+/// router may not know that yet and consider itself a borrower: it would report a shortage for over a
+/// second, and calls would be refused although the store is reachable. A request of its own either brings
+/// tokens or shows that the allocator is down, which makes this router the allocator. Requests only go to
+/// routers that come earlier in an order common to all, so there are no cycles.
+fn has_allocator(state: &GatewayState, workspace: &WorkspaceName) -> bool {
     let ring = state.lending.ring.borrow();
     ring.allocator(state.now(), workspace).is_some()
 }
--- a/crates/beechsaddle/src/gateway/token_lending.rs
+++ b/crates/beechsaddle/src/gateway/token_lending.rs
@@ -1,4 +1,4 @@
-//! The `token_lending` module provides what a router knows of those that lend to it, and when it asks them.
+//! The `token_lending` module provides the state of loans between routers and of the requests for them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -13,69 +13,70 @@
 
 use super::gateway_state::GatewayState;
 use super::peer_link::PeerLinks;
-use super::token_borrow::ask_for_tokens;
+use super::token_borrow::request_tokens;
 
-/// How long a loan may take: the lender may have to ask the ledger first.
-pub(super) const LOAN_SPAN: Duration = Duration::from_millis(400);
+/// Timeout of a loan request, in which the lender may have to wait for the ledger.
+pub(super) const LOAN_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Why there was no loan.
+/// Why a loan request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LoanFailure {
-    /// The router does not answer.
+    /// The lender did not answer.
     Unreachable,
-    /// It has too little now, and asks the ledger.
+    /// The lender has too little at the moment, and requests more from the ledger.
     Short,
-    /// It has too little, and cannot reach the ledger.
-    LedgerAway,
+    /// The lender has too little, and cannot reach the ledger.
+    LedgerUnreachable,
 }
 
-/// What is known of the routers that lend tokens, and of workspaces whose tokens are being asked for.
+/// The known lenders, and the workspaces with pending token requests.
 pub(super) struct TokenLending {
     /// The routers of the fleet.
     pub(super) ring: RefCell<PeerRing>,
     pub(super) links: PeerLinks,
-    /// Workspaces that nobody is asked for just now.
+    /// Workspaces for which requests to any router are paused.
     pub(super) pauses: RefCell<LoanBackoff>,
-    /// Workspaces whose keepers in other domains had nothing left beside a ledger that has too little.
-    pub(super) foreign_pauses: RefCell<LoanBackoff>,
-    active: RefCell<BTreeSet<WorkspaceName>>,
+    /// Workspaces for which requests for remainders are paused: the ledger has too little, and the
+    /// allocators of other domains had nothing left.
+    pub(super) remainder_pauses: RefCell<LoanBackoff>,
+    pending_requests: RefCell<BTreeSet<WorkspaceName>>,
     secret: RefCell<String>,
-    is_settled: Cell<bool>,
-    settled: Notify,
+    are_roles_enabled: Cell<bool>,
+    roles_enabled: Notify,
 }
 
 impl TokenLending {
-    /// Lending of a router that knows of no other.
+    /// Creates the state of a router that knows no other routers.
     pub(super) fn new(me: HostName, domain: DomainName) -> Self {
         TokenLending {
             ring: RefCell::new(PeerRing::new(me, domain)),
             links: PeerLinks::default(),
             pauses: RefCell::default(),
-            foreign_pauses: RefCell::default(),
-            active: RefCell::default(),
+            remainder_pauses: RefCell::default(),
+            pending_requests: RefCell::default(),
             secret: RefCell::default(),
-            is_settled: Cell::new(false),
-            settled: Notify::new(),
+            are_roles_enabled: Cell::new(false),
+            roles_enabled: Notify::new(),
         }
     }
 
-    /// The secret that routers of the fleet share; empty before it is known.
+    /// Returns the fleet's shared secret, or an empty string before it is known.
     pub(super) fn secret(&self) -> String {
         self.secret.borrow().clone()
     }
 
-    /// Takes over the shared secret.
     pub(super) fn set_secret(&self, secret: impl Into<String>) {
         *self.secret.borrow_mut() = secret.into();
     }
 
-    /// Has roles set by the routers that are listed, from now on.
+    /// Enables the assignment of roles according to the listed routers.
     ///
-    /// When a whole fleet starts, the first listing shows the few that were faster. Each router would
-    /// keep every workspace for some seconds, and take and give back tokens of all.
-    pub(super) fn settle(&self) {
-        self.is_settled.set(true);
-        self.settled.notify_waiters();
+    /// When a whole fleet starts, the first listing contains only the few fastest routers. With roles
+    /// assigned from it, each router would be the allocator of every workspace for some seconds, and take
+    /// and give back tokens of all.
+    pub(super) fn enable_roles(&self) {
+        self.are_roles_enabled.set(true);
+        self.roles_enabled.notify_waiters();
     }
 
     /// Whether any router is listed.
@@ -83,50 +84,58 @@
         self.ring.borrow().router_count() > 0
     }
 
-    /// Ends once the listed routers count.
-    pub(super) async fn settled(&self) {
-        let settled = self.settled.notified();
-        if !self.is_settled.get() {
-            settled.await;
+    /// Waits until roles are assigned according to the listed routers.
+    pub(super) async fn roles_enabled(&self) {
+        let roles_enabled = self.roles_enabled.notified();
+        if !self.are_roles_enabled.get() {
+            roles_enabled.await;
         }
     }
 
-    /// Whether tokens of a workspace may come: they are being asked for, and were not refused a
-    /// moment ago.
-    pub(super) fn may_come(&self, now: ClockTime, workspace: &WorkspaceName) -> bool {
-        self.active.borrow().contains(workspace) && !self.was_refused(now, workspace)
+    /// Whether tokens of a workspace may arrive: they have been requested, and not refused recently.
+    pub(super) fn is_request_pending(&self, now: ClockTime, workspace: &WorkspaceName) -> bool {
+        self.pending_requests.borrow().contains(workspace) && !self.was_refused(now, workspace)
     }
 
-    /// Whether nobody could give tokens of a workspace a moment ago.
+    /// Whether every request for tokens of a workspace was refused recently.
     pub(super) fn was_refused(&self, now: ClockTime, workspace: &WorkspaceName) -> bool {
         self.pauses.borrow().is_paused(now, workspace)
     }
 }
 
-/// Has tokens asked for that calls wait for, from a router or the ledger.
+/// Starts a request for tokens that calls wait for, to other routers or the ledger.
 ///
-/// The asking goes on when the call that began it leaves: a loan that is on its way would be lost.
-pub(super) fn want_tokens(state: &Rc<GatewayState>, workspace: &WorkspaceName) {
+/// The request continues after the call that started it has ended: a loan in transit would be lost.
+pub(super) fn start_request(state: &Rc<GatewayState>, workspace: &WorkspaceName) {
     let is_refused = state.lending.was_refused(state.now(), workspace);
-    if is_refused || !state.lending.active.borrow_mut().insert(workspace.clone()) {
+    if is_refused
+        || !state
+            .lending
+            .pending_requests
+            .borrow_mut()
+            .insert(workspace.clone())
+    {
         return;
     }
     let (state, workspace) = (Rc::clone(state), workspace.clone());
     spawn_local(async move {
-        ask_for_tokens(&state, &workspace).await;
-        state.lending.active.borrow_mut().remove(&workspace);
-        // Loans and writes of the ledger wake the calls that wait. Only where neither will come do
-        // they have to be told here; telling them each time would have them ask again at once, and
-        // the process would spin until they give up.
+        request_tokens(&state, &workspace).await;
+        state
+            .lending
+            .pending_requests
+            .borrow_mut()
+            .remove(&workspace);
+        // Loans and ledger writes wake the waiting calls, so they are woken here only after a refusal.
+        // Waking them each time would make them request again at once, in a busy loop until they time out.
         if state.lending.was_refused(state.now(), &workspace) {
             state.escrow_changed.notify_waiters();
         }
     });
 }
 
-/// Sets for each workspace whether this router keeps it, by the routers that are known and answer.
+/// Sets the role of this router for each workspace, according to the known routers that are up.
 pub(super) fn update_roles(state: &GatewayState) {
-    if !state.lending.is_settled.get() {
+    if !state.lending.are_roles_enabled.get() {
         return;
     }
     let now = state.now();
@@ -149,11 +158,11 @@
     }
 }
 
-/// Passes over a router that did not answer.
+/// Marks a router that did not answer as down.
 pub(super) fn mark_down(state: &GatewayState, peer: &PeerRecord, error: &str) -> LoanFailure {
-    state.lending.links.forget(&peer.host);
-    // Behind a full link of its own every router seems silent: passing over one after the other would
-    // make this one the keeper of everything, with nobody to borrow from.
+    state.lending.links.close(&peer.host);
+    // While this router's own link is congested, every peer seems silent. Marking them all as down would
+    // make this router the allocator of every workspace, with no lender left.
     if !state.is_link_full() {
         let mut ring = state.lending.ring.borrow_mut();
         ring.mark_down(state.now(), &peer.host);
--- a/crates/beechsaddle/src/gateway/token_reservation.rs
+++ b/crates/beechsaddle/src/gateway/token_reservation.rs
@@ -1,4 +1,4 @@
-//! The `token_reservation` module provides the tokens that one call may use.
+//! The `token_reservation` module provides the reservation of tokens for one call.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,14 +11,14 @@
 use super::gateway_state::GatewayState;
 use super::ledger_wait::LedgerWait;
 use super::refusal::RefusalCause;
-use super::token_lending::want_tokens;
+use super::token_lending::start_request;
 
-/// How long a call waits for the ledger, in milliseconds: a few tries of a write that meets others,
-/// and short against what callers wait for a first event.
+/// How long a call waits for the ledger, in milliseconds: a few attempts of a conflicting write, and short
+/// compared to what callers wait for a first event.
 const LEDGER_WAIT_MS: u64 = 700;
 
-/// Tokens reserved for a call. Dropping it, however the call ends, spends what was used and frees
-/// the rest.
+/// Tokens reserved for a call. Dropping the reservation, however the call ends, spends the used tokens and
+/// releases the others.
 pub(super) struct TokenReservation {
     state: Rc<GatewayState>,
     workspace: WorkspaceName,
@@ -27,7 +27,7 @@
 }
 
 impl TokenReservation {
-    /// Reserves the most that a call may use, waiting for the ledger if need be.
+    /// Reserves the maximum that a call may use, waiting for the ledger if necessary.
     pub(super) async fn try_take(
         state: &Rc<GatewayState>,
         workspace: &WorkspaceName,
@@ -36,7 +36,7 @@
         let tokens = bound.total();
         let waiting = LedgerWait::start(state, workspace, tokens);
         let until = Instant::now() + Duration::from_millis(LEDGER_WAIT_MS);
-        let mut has_asked = false;
+        let mut has_requested = false;
         loop {
             let changed = state.escrow_changed.notified();
             let now = state.now();
@@ -49,14 +49,15 @@
                 ReserveOutcome::Exhausted => return Err(RefusalCause::BudgetExhausted),
                 ReserveOutcome::Short => waiting.begin(),
             }
-            // While nobody can help, a wait would only make the refusal late.
-            let may_come = state.lending.may_come(now, workspace);
-            let is_away = state.is_ledger_away.get() || state.lending.was_refused(now, workspace);
-            if has_asked && !may_come && is_away {
+            // While no tokens can arrive, waiting would only delay the refusal.
+            let is_pending = state.lending.is_request_pending(now, workspace);
+            let is_unreachable =
+                state.is_ledger_unreachable.get() || state.lending.was_refused(now, workspace);
+            if has_requested && !is_pending && is_unreachable {
                 return Err(RefusalCause::BudgetUnreachable);
             }
-            has_asked = true;
-            want_tokens(state, workspace);
+            has_requested = true;
+            start_request(state, workspace);
             if timeout_at(until, changed).await.is_err() {
                 return Err(RefusalCause::BudgetUnreachable);
             }
@@ -69,25 +70,25 @@
         })
     }
 
-    /// Notes that a target is sent the call. From here on the prompt is spent, unless the target
-    /// turns out not to have run it: a caller that leaves now ends this future at any point, and the
-    /// target may be reading all the same.
+    /// Records that the call is being sent to a target. The prompt counts as used from now on, unless the
+    /// target turns out not to have executed the call: if the caller disconnects, this future is dropped at
+    /// any point, and the target may still process the prompt.
     pub(super) fn begin_attempt(&self) {
         self.used.set(self.used.get().max(self.bound.input));
     }
 
-    /// Notes that no target ran the call so far.
+    /// Records that no target has executed the call so far.
     pub(super) fn undo_attempts(&self) {
         self.used.set(0);
     }
 
-    /// How many tokens are used so far.
+    /// Returns the number of tokens used so far.
     pub(super) fn used(&self) -> u64 {
         self.used.get()
     }
 
-    /// Notes how many tokens were delivered so far.
-    pub(super) fn note_delivered(&self, output: u64) {
+    /// Records the number of output tokens delivered so far.
+    pub(super) fn record_delivered(&self, output: u64) {
         let output = output.min(self.bound.output_max);
         let used = self.bound.input.saturating_add(output);
         self.used.set(self.used.get().max(used));
--- a/crates/beechsaddle/src/gateway/token_return.rs
+++ b/crates/beechsaddle/src/gateway/token_return.rs
@@ -1,4 +1,4 @@
-//! The `token_return` module provides the handing back of tokens to the router that keeps their workspace.
+//! The `token_return` module provides the return of borrowed tokens to the allocator of their workspace.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,20 +12,20 @@
 
 use super::gateway_state::GatewayState;
 use super::peer_link::ReturnFailure;
-use super::token_lending::{LOAN_SPAN, mark_down};
+use super::token_lending::{LOAN_TIMEOUT, mark_down};
 
-/// The shortest time between two returns of a workspace, in milliseconds: some calls, so that what one call
-/// leaves may serve the next.
-const RETURN_SPAN_MS: u64 = 2_000;
+/// Minimum interval between two returns of a workspace's tokens, in milliseconds: several calls long, so
+/// that the remainder of one call can serve the next.
+const RETURN_INTERVAL_MS: u64 = 2_000;
 
-/// Hands back what a borrower holds too much of.
+/// Returns surplus tokens of a borrower.
 pub(super) struct TokenReturns {
     state: Rc<GatewayState>,
     returned_at: RefCell<BTreeMap<WorkspaceName, ClockTime>>,
 }
 
 impl TokenReturns {
-    /// Returns of a router that has made none.
+    /// Creates the state of a router that has returned no tokens yet.
     pub(super) fn new(state: Rc<GatewayState>) -> Self {
         TokenReturns {
             state,
@@ -33,22 +33,22 @@
         }
     }
 
-    /// Begins to hand back what is due; when all is to be given back, at once.
+    /// Starts the returns that are due; while the escrow is closing, without regard to the interval.
     pub(super) fn begin(&self) {
         let now = self.state.now();
         let is_closing = self.state.escrow.borrow().is_closing();
         let due = self.state.escrow.borrow().returnable(now);
         for workspace in due {
             let returned_at = self.returned_at.borrow().get(&workspace).copied();
-            let is_calm = returned_at.is_none_or(|at| now.since(at) >= RETURN_SPAN_MS);
-            if is_calm || is_closing {
+            let is_interval_over = returned_at.is_none_or(|at| now.since(at) >= RETURN_INTERVAL_MS);
+            if is_interval_over || is_closing {
                 self.returned_at.borrow_mut().insert(workspace.clone(), now);
-                self.begin_one(workspace);
+                self.begin_return_of(workspace);
             }
         }
     }
 
-    fn begin_one(&self, workspace: WorkspaceName) {
+    fn begin_return_of(&self, workspace: WorkspaceName) {
         let now = self.state.now();
         let ring = self.state.lending.ring.borrow();
         let Some(allocator) = ring.allocator(now, &workspace).cloned() else {
@@ -56,71 +56,73 @@
         };
         drop(ring);
         let mut escrow = self.state.escrow.borrow_mut();
-        if let Some(handed) = escrow.begin_return(now, &workspace) {
+        if let Some(loan_return) = escrow.begin_return(now, &workspace) {
             let state = Rc::clone(&self.state);
-            spawn_local(async move { hand_back(&state, &allocator, &workspace, handed).await });
+            spawn_local(
+                async move { return_tokens(&state, &allocator, &workspace, loan_return).await },
+            );
         }
     }
 }
 
-async fn hand_back(
+async fn return_tokens(
     state: &GatewayState,
     allocator: &PeerRecord,
     workspace: &WorkspaceName,
-    handed: LoanReturn,
+    loan_return: LoanReturn,
 ) {
     let secret = state.lending.secret();
     let links = &state.lending.links;
-    let returned = links.return_tokens(allocator, &secret, workspace, handed);
-    let returned = match timeout(LOAN_SPAN, returned).await {
+    let returned = links.return_tokens(allocator, &secret, workspace, loan_return);
+    let returned = match timeout(LOAN_TIMEOUT, returned).await {
         Ok(returned) => returned,
         Err(_) => Err(ReturnFailure::Unknown("no answer in time".to_owned())),
     };
-    let outcome = take_outcome(state, allocator, workspace, handed, returned);
+    let outcome = apply_outcome(state, allocator, workspace, loan_return, returned);
     let fields = [
         ("workspace", workspace.to_string()),
         ("peer", allocator.host.to_string()),
         ("outcome", outcome.to_owned()),
-        ("tokens", handed.tokens.to_string()),
+        ("tokens", loan_return.tokens.to_string()),
     ];
     state.report.log(LogLevel::Info, "tokens_returned", fields);
     state.escrow_changed.notify_waiters();
 }
 
-/// Takes over what became of a return; gives a word for it.
-fn take_outcome(
+/// Applies the outcome of a return. Returns its name in logs.
+fn apply_outcome(
     state: &GatewayState,
     allocator: &PeerRecord,
     workspace: &WorkspaceName,
-    handed: LoanReturn,
+    loan_return: LoanReturn,
     returned: Result<Option<u64>, ReturnFailure>,
 ) -> &'static str {
     let mut escrow = state.escrow.borrow_mut();
     match returned {
         Ok(taken) => {
-            escrow.finish_return(workspace, handed);
+            escrow.finish_return(workspace, loan_return);
             if let Some(taken) = taken {
                 escrow.record_taken(workspace, taken);
             }
             "returned"
         }
         Err(ReturnFailure::Refused) => {
-            escrow.undo_return(workspace, handed);
-            // A router that ends has nobody else to give to; others try again.
+            escrow.undo_return(workspace, loan_return);
+            // A router that shuts down has no other recipient than the ledger; others try again later.
             if escrow.is_closing() {
                 escrow.set_role(workspace, EscrowRole::Allocator);
             }
             "refused"
         }
         Err(ReturnFailure::Unsent(error)) => {
-            escrow.undo_return(workspace, handed);
+            escrow.undo_return(workspace, loan_return);
             drop(escrow);
             mark_down(state, allocator, &error);
             "unsent"
         }
         Err(ReturnFailure::Unknown(error)) => {
-            // The keeper may have them: spending them here as well would overspend.
-            escrow.lose_return(workspace, handed);
+            // The allocator may have received the tokens: using them here too could overspend the total.
+            escrow.lose_return(workspace, loan_return);
             drop(escrow);
             mark_down(state, allocator, &error);
             "unknown"
--- a/crates/beechsaddle/tests/gateway_budgets.rs
+++ b/crates/beechsaddle/tests/gateway_budgets.rs
@@ -1,4 +1,4 @@
-//! Tests of prepaid totals through gateways.
+//! Tests of prepaid totals with gateways.
 
 mod gateway_support;
 
@@ -10,11 +10,11 @@
 use serde_json::Value;
 use tokio::time::sleep;
 
-/// Tokens of a stream's prompt.
+/// Prompt tokens of a stream.
 const INPUT: u64 = 100;
-/// The most tokens that it may generate. Three events of three tokens are made.
+/// Maximum output tokens of a stream. The target generates three events of three tokens.
 const OUTPUT: u64 = 20;
-/// What one stream uses.
+/// Tokens that a stream uses.
 const USED: u64 = INPUT + 9;
 
 fn stream_request(id: &str) -> CallRequest {
@@ -27,7 +27,7 @@
     ledger["taken"].as_u64().unwrap_or(0)
 }
 
-/// Calls until the total is refused for good; gives how many were served.
+/// Makes calls until the total is exhausted. Returns how many were served.
 async fn exhaust(router: &GatewayProcess, name: &str) -> u64 {
     let mut served = 0;
     for number in 0..2_000 {
@@ -41,11 +41,11 @@
             other => panic!("status {other}: {}", reply.body),
         }
     }
-    panic!("the total was never used up");
+    panic!("the total was not exhausted after 2000 calls");
 }
 
-/// A workspace uses up its total. It gets nearly all of it and nothing beyond; then 402, until the
-/// total is raised.
+/// A workspace exhausts its total. It gets nearly all of it and nothing beyond, then 402 until the total is
+/// raised.
 #[tokio::test]
 async fn total_is_used_up_and_raised() {
     let prepaid = 20_000;
@@ -63,8 +63,8 @@
     .await;
 }
 
-/// The ledger's writes are done and never answered, or done late. The router finds out what became
-/// of each: callers are served, and not a token beyond the total.
+/// Ledger writes are committed without an answer, or committed late. The router determines the outcome of
+/// each, so that calls are served and the total is never exceeded.
 #[tokio::test]
 async fn lost_and_late_writes_never_overspend() {
     let prepaid = 12_000;
@@ -85,8 +85,8 @@
     }
 }
 
-/// Two routers share a total; one is killed while it holds tokens and starts again. What it held is
-/// lost to the workspace, and both together never spend more than the total.
+/// Two routers share a total; one is killed while it holds tokens, and restarts. The tokens it held are
+/// lost to the workspace, and the total is never exceeded.
 #[tokio::test]
 async fn killed_router_never_overspends() {
     let prepaid = 40_000;
@@ -110,8 +110,8 @@
     assert!(served * USED >= prepaid / 2, "{served} streams were served");
 }
 
-/// A router is told to end. It gives back what it holds: the ledger then has taken just what was
-/// used, and the next router can spend the rest.
+/// A router that is terminated gives its tokens back: the ledger has then taken exactly what was used, and
+/// the next router can spend the remainder.
 #[tokio::test]
 async fn shutdown_gives_tokens_back() {
     let mut bench = GatewayBench::start(&draft(1, 1_000_000)).await;
@@ -130,10 +130,10 @@
     assert_eq!(taken(&ledger), 10 * USED);
 }
 
-/// The ledger cannot be reached and the router holds nothing of a workspace. The caller learns at
-/// once that the call did not run and when to come back; it is not told that its total is used up.
+/// The ledger is unreachable and the router holds no tokens of the workspace. The call is refused at once
+/// as not executed, with a time to retry, and not as exhausted.
 #[tokio::test]
-async fn ledger_away_refuses_at_once_as_not_run() {
+async fn unreachable_ledger_refuses_at_once_as_not_run() {
     let bench = GatewayBench::start(&draft(1, 1_000_000)).await;
     bench.store.set_fault(StoreFault::Refusing);
     bench.router.wait_log(&["store_lost", "duty=budgets"]).await;
@@ -147,7 +147,7 @@
     assert_eq!(GatewayBench::arrival_count(&bench.engines), 0);
 }
 
-/// Routes without tokens cost nothing, and calls that no target ran cost nothing either.
+/// Calls without tokens, and calls that no target executed, use no tokens.
 #[tokio::test]
 async fn calls_that_did_not_run_cost_nothing() {
     let mut bench = GatewayBench::start(&draft(1, 100_000)).await;
@@ -170,9 +170,8 @@
     assert_eq!(taken(&ledger), 0);
 }
 
-/// Nearly all of the total is taken elsewhere, so that calls wait for tokens that do not come. The
-/// router sleeps while they wait. Asking anew at each wake once had it spin at full speed until the
-/// calls gave up.
+/// Nearly all of the total is taken elsewhere, and calls wait for tokens that do not arrive. Guards against
+/// a busy loop: repeating the request at each wake kept the router at full load until the calls timed out.
 #[tokio::test]
 async fn waiting_calls_cost_no_processor_time() {
     let bench = GatewayBench::start(&draft(1, 100_000)).await;
@@ -194,8 +193,8 @@
     );
 }
 
-/// Callers leave before the first event, while the target is reading their prompts. What was read is
-/// spent: the ledger counts it, or a workspace could use its total many times over.
+/// Callers disconnect before the first event, while the targets process their prompts. The prompts count as
+/// used in the ledger, or a workspace could use its total many times over.
 #[tokio::test]
 async fn calls_left_before_the_first_event_are_spent() {
     use tokio::io::AsyncWriteExt;
--- a/crates/beechsaddle/tests/gateway_lending.rs
+++ b/crates/beechsaddle/tests/gateway_lending.rs
@@ -1,4 +1,4 @@
-//! Tests of routers that lend each other tokens.
+//! Tests of token loans between routers.
 
 mod gateway_support;
 
@@ -11,10 +11,10 @@
 use nix::sys::signal::Signal;
 use tokio::time::sleep;
 
-/// What one stream uses: its prompt, and three events of three tokens.
+/// Tokens that a stream uses: its prompt, and three events of three tokens.
 const USED: u64 = 109;
 
-/// What is reserved for it: its prompt, and as much output as it may ask for.
+/// Tokens reserved for a stream: its prompt and the maximum output.
 const RESERVED: u64 = 120;
 
 fn stream_request(id: &str) -> CallRequest {
@@ -33,12 +33,12 @@
         .router
         .wait_log(&["routers_listed", "routers=2"])
         .await;
-    // Roles follow the list at the next tick.
+    // Roles are updated at the next tick.
     sleep(Duration::from_millis(1_200)).await;
     router
 }
 
-/// A router of another domain, once it and the first know each other.
+/// Starts a router in another domain, and waits until it and the first router know each other.
 async fn southern_router(
     bench: &GatewayBench,
     start: fn(SocketAddr, &str, &str) -> GatewayProcess,
@@ -50,15 +50,15 @@
         router.wait_log(&["target_joined", "engine-2"]).await;
         router.wait_log(&["routers_listed", "routers=2"]).await;
     }
-    // Roles follow the list at the next tick.
+    // Roles are updated at the next tick.
     sleep(Duration::from_millis(1_200)).await;
     south
 }
 
-/// Two routers of a domain serve one workspace. Only one of them writes the ledger; the other is
-/// lent what it needs.
+/// Two routers of a domain serve one workspace. Only the allocator writes the ledger; the other router
+/// borrows.
 #[tokio::test]
-async fn one_router_of_a_domain_keeps_the_workspace() {
+async fn one_router_per_domain_allocates_a_workspace() {
     let bench = GatewayBench::start(&draft(1, 1_000_000)).await;
     let second = second_router(&bench, "host-2").await;
     let before: Vec<_> = [&bench.router, &second]
@@ -79,13 +79,15 @@
         .map(|router| router.log_lines(&["ledger_written", "transfer=take"]).len())
         .collect();
     let unchanged = before.iter().zip(&after).filter(|(old, new)| old == new);
-    assert!(unchanged.count() >= 1, "both wrote: {before:?} {after:?}");
+    assert!(
+        unchanged.count() >= 1,
+        "both routers wrote the ledger: {before:?} {after:?}"
+    );
 }
 
-/// The store is away for both routers. The one that keeps the workspace still holds some, and lends
-/// the other what its callers need.
+/// The store is unreachable for both routers. The allocator lends from the tokens it still holds.
 #[tokio::test]
-async fn store_away_loans_go_on() {
+async fn loans_continue_during_store_outage() {
     let bench = GatewayBench::start(&draft(1, 1_000_000)).await;
     let second = second_router(&bench, "host-2").await;
     for number in 0..10 {
@@ -107,9 +109,9 @@
     }
 }
 
-/// The last part of a total lies with the keepers of two domains, and callers come to one of them. They were told to
-/// come back, call after call, until the other keeper had noticed and given its rest back by a write. The rest is
-/// borrowed from it at once.
+/// The last part of a total is split between the allocators of two domains, and calls arrive at one of
+/// them. Guards against calls that are refused until the other allocator has given its remainder back in a
+/// ledger write: it is borrowed at once.
 #[tokio::test]
 async fn remainder_in_another_domain_is_borrowed() {
     let prepaid = 12_000;
@@ -123,7 +125,8 @@
             assert_eq!(reply.status, 200, "{}", reply.body);
         }
     }
-    // One call may come while a rest is on its way back to the ledger, where neither keeper has it.
+    // One call may arrive while a remainder is being written back to the ledger, when neither allocator
+    // holds it.
     let (mut used, mut refused) = (40 * USED, 0);
     while refused < 2 {
         let reply = south.call(&stream_request(&format!("south-{used}"))).await;
@@ -132,25 +135,26 @@
             _ => refused += 1,
         }
     }
-    // What is left may lie in two rests that are each smaller than a call.
+    // The unused part may consist of two remainders that are each too small for a call.
     assert!(used + 2 * RESERVED >= prepaid, "{used} used of {prepaid}");
     assert!(used <= prepaid, "{used} used of {prepaid}");
 }
 
-/// The keepers of two domains write a ledger in turns. Each wrote from what the store had told it some seconds ago,
-/// met the other's write, and had its caller wait for another try: a quarter of all writes of a fleet in five domains.
-/// Told by each other what was written, they write from the newest.
+/// The allocators of two domains write a ledger alternately. Without ledger updates, each writes from a
+/// read that is some seconds old and conflicts with the other's write, and its caller waits for another
+/// attempt: a quarter of all writes of a fleet in five domains. With the updates, each writes from the
+/// newest revision.
 #[tokio::test]
-async fn keepers_of_two_domains_write_without_conflict() {
-    let bench = GatewayBench::start_holding_little(&draft(1, 500_000_000)).await;
-    let south = southern_router(&bench, GatewayProcess::start_holding_little).await;
+async fn allocators_of_two_domains_write_without_conflict() {
+    let bench = GatewayBench::start_with_low_holdings(&draft(1, 500_000_000)).await;
+    let south = southern_router(&bench, GatewayProcess::start_with_low_holdings).await;
     let routers = [&bench.router, &south];
     for router in routers {
         assert_eq!(router.call(&stream_request("small")).await.status, 200);
     }
     bench.store.freeze_stale_reads();
     let before = write_count(routers, "conflict").await;
-    // Each call needs more than a keeper holds after the one before.
+    // Each call needs more than an allocator holds after the previous one.
     for prompt in [1_000, 4_000, 16_000, 64_000, 256_000] {
         for router in routers {
             let mut call = stream_request(&format!("large-{prompt}"));
@@ -159,13 +163,13 @@
             sleep(Duration::from_millis(50)).await;
         }
     }
-    let met = write_count(routers, "conflict").await - before;
+    let conflicts = write_count(routers, "conflict").await - before;
     let done = write_count(routers, "done").await;
     assert!(done >= 10.0, "{done} writes");
-    assert!(met <= 1.0, "{met} conflicts");
+    assert!(conflicts <= 1.0, "{conflicts} conflicts");
 }
 
-/// Writes of ledgers by what came of them.
+/// Returns the number of ledger writes with an outcome.
 async fn write_count(routers: [&GatewayProcess; 2], what: &str) -> f64 {
     let mut count = 0.0;
     for router in routers {
@@ -175,10 +179,10 @@
     count
 }
 
-/// The router that keeps a workspace is killed. The other notices when it asks, keeps the workspace
-/// itself and serves on; both together never use more than the total.
+/// The allocator of a workspace is killed. The other router detects it at the next request, takes the role
+/// over and keeps serving; both together never use more than the total.
 #[tokio::test]
-async fn killed_keeper_is_replaced() {
+async fn killed_allocator_is_replaced() {
     let prepaid = 200_000;
     let bench = GatewayBench::start(&draft(1, prepaid)).await;
     let second = second_router(&bench, "host-2").await;
@@ -202,12 +206,12 @@
     assert!(served * USED <= prepaid);
 }
 
-/// Callers are told to come back although the store is reachable and hardly anything of the total is used.
-/// The keeper of the domain was killed. A borrower finds that out and asks the next router in line, which
-/// nobody has called since: it still takes itself for a borrower of the dead one, answers that it has too
-/// little, and asks nobody. So it went on until it had calls of its own that needed tokens.
+/// Guards against calls that are refused although the store is reachable and hardly any of the total is
+/// used. The allocator of the domain is killed, and a borrower asks the next router in the order. That one
+/// has had no calls, so it still considers itself a borrower of the dead allocator. It used to report a
+/// shortage without asking any router, until it had calls of its own that needed tokens.
 #[tokio::test]
-async fn next_in_line_takes_over_when_asked() {
+async fn next_allocator_takes_over_on_request() {
     let bench = GatewayBench::start(&draft(1, 1_000_000)).await;
     let weight = |host: &str| rendezvous_weight("acme", host);
     let hosts = (2..20).map(|number| format!("host-{number}"));
@@ -216,27 +220,27 @@
         .collect();
     above.sort_by_key(|host| weight(host));
     let next = GatewayProcess::start(bench.store.address(), &above[0], "north");
-    let keeper = GatewayProcess::start(bench.store.address(), &above[1], "north");
-    for router in [&bench.router, &next, &keeper] {
+    let allocator = GatewayProcess::start(bench.store.address(), &above[1], "north");
+    for router in [&bench.router, &next, &allocator] {
         router.wait_ready().await;
         router.wait_log(&["target_joined", "engine-1"]).await;
         router.wait_log(&["routers_listed", "routers=3"]).await;
     }
-    // Roles follow the list at the next tick.
+    // Roles are updated at the next tick.
     sleep(Duration::from_millis(1_200)).await;
-    assert_eq!(keeper.call(&stream_request("a")).await.status, 200);
-    keeper.signal(Signal::SIGKILL);
+    assert_eq!(allocator.call(&stream_request("a")).await.status, 200);
+    allocator.signal(Signal::SIGKILL);
     let reply = bench.router.call(&stream_request("b")).await;
     assert_eq!(reply.status, 200, "{}", reply.body);
 }
 
-/// The total does not cover a call, and the keeper waits whether others give something back. The
-/// other router leaves the ledger to it: if it asked too, with dozens of routers, none of them would
-/// get a write through, and its own answer would be the same.
+/// The total does not cover a call, and the allocator waits for others to return tokens. The borrower does
+/// not access the ledger itself: with dozens of routers none of their writes would succeed, and its answer
+/// would be the same.
 #[tokio::test]
-async fn borrower_leaves_the_ledger_to_its_keeper() {
+async fn borrower_leaves_the_ledger_to_its_allocator() {
     let bench = GatewayBench::start(&draft(1, 50_000)).await;
-    // Of these two hosts the second keeps the workspace.
+    // Of these two hosts the second is the allocator.
     let second = second_router(&bench, "host-2").await;
     let mut large = stream_request("large");
     large.tokens = Some((90_000, 20));
@@ -245,17 +249,17 @@
     let words = ["event=tokens_reserved", "id=large"];
     let line = borrower.wait_log(&words).await;
     assert!(line.contains("role=borrower"), "{line}");
-    let asked = borrower.metric("store_calls_total{call=\"read_ledger\"");
-    assert_eq!(asked.await, None);
+    let reads = borrower.metric("store_calls_total{call=\"read_ledger\"");
+    assert_eq!(reads.await, None);
     drop(second);
 }
 
-/// A call at a router that borrows leaves most of what was reserved for it. The router hands that to the one that
-/// keeps the workspace, and no ledger is written: with 195 routers two of three writes of a day were such rests.
+/// A call at a borrower leaves most of its reservation unused. The borrower returns it to the allocator
+/// without a ledger write: with 195 routers, two of three writes in a day came from such remainders.
 #[tokio::test]
-async fn borrower_hands_rests_to_its_keeper() {
+async fn borrower_returns_remainders_to_its_allocator() {
     let bench = GatewayBench::start(&draft(1, 1_000_000)).await;
-    // Of these two hosts the second keeps the workspace.
+    // Of these two hosts the second is the allocator.
     let second = second_router(&bench, "host-2").await;
     let mut call = stream_request("large");
     call.tokens = Some((100, 20_000));
@@ -270,11 +274,12 @@
     assert_eq!(written, Vec::<String>::new());
 }
 
-/// The store is away for all, and the keeper has nothing left to lend. When it is back only the keeper takes from
-/// the ledger. Each borrower that had asked in vain once took the keeper's place: dozens met at the ledger in the
-/// first second after an outage, and gave back as many times what they did not need.
+/// The store is unreachable for all routers, and the allocator has nothing left to lend. When the store is
+/// back, only the allocator takes from the ledger. Guards against borrowers that take over the role after
+/// refused requests: dozens conflicted in the first second after an outage, and gave the surplus back in as
+/// many writes.
 #[tokio::test]
-async fn store_back_only_the_keeper_writes() {
+async fn only_the_allocator_writes_after_an_outage() {
     let bench = GatewayBench::start(&draft(1, 1_000_000)).await;
     let second = second_router(&bench, "host-2").await;
     let mut large = stream_request("large");
@@ -298,9 +303,9 @@
     assert!(!second.log_lines(&["event=ledger_written"]).is_empty());
 }
 
-/// All routers lose power and start again. Who keeps what follows from the list, which is as it was: callers are
-/// served as soon as the routers are ready. Each router once waited 1.5 s for others to be listed, and refused them
-/// as long.
+/// All routers restart after a power failure. The roles follow from the unchanged list of routers, so calls
+/// are served as soon as the routers are ready. Routers used to wait 1.5 s for others to be listed, and
+/// refused calls meanwhile.
 #[tokio::test]
 async fn restarted_routers_lend_at_once() {
     let mut bench = GatewayBench::start(&draft(1, 1_000_000)).await;
@@ -324,10 +329,10 @@
     );
 }
 
-/// Somebody without the secret of the fleet asks for tokens, or sends what is no message at all.
-/// Nothing is lent, and callers are served on.
+/// A client without the fleet's secret sends bytes that are not a valid message, and the router keeps
+/// serving calls.
 #[tokio::test]
-async fn stranger_is_lent_nothing() {
+async fn invalid_peer_message_does_not_stop_service() {
     use tokio::io::AsyncWriteExt;
     let bench = GatewayBench::start(&draft(1, 1_000_000)).await;
     let entry = bench.store.spec("routers", "host-1").expect("an entry");
@@ -341,33 +346,33 @@
     assert_eq!(reply.status, 200);
 }
 
-/// Guards against tokens that are lost because the lender's answer comes after the borrower's timeout.
+/// Guards against tokens that are lost when the lender's answer arrives after the borrower's timeout.
 #[tokio::test]
-async fn late_loan_is_taken() {
+async fn late_loan_is_credited() {
     let bench = GatewayBench::start(&draft(1, 1_000_000)).await;
     let second = second_router(&bench, "host-2").await;
-    let is_first = !bench
+    let is_first_allocator = !bench
         .router
         .log_lines(&["ledger_written", "transfer=take"])
         .is_empty();
-    let (keeper, borrower) = match is_first {
+    let (allocator, borrower) = match is_first_allocator {
         true => (&bench.router, &second),
         false => (&second, &bench.router),
     };
     let reply = borrower.call(&stream_request("before")).await;
     assert_eq!(reply.status, 200, "{}", reply.body);
-    let lent = keeper.log_lines(&["tokens_lent", "outcome=lent"]).len();
-    keeper.signal(Signal::SIGSTOP);
+    let lent = allocator.log_lines(&["tokens_lent", "outcome=lent"]).len();
+    allocator.signal(Signal::SIGSTOP);
     borrower.call(&stream_request("paused")).await;
     borrower.wait_log(&["peer_lost", "no answer in time"]).await;
-    keeper.signal(Signal::SIGCONT);
+    allocator.signal(Signal::SIGCONT);
     wait_for("another loan", async || {
-        keeper.log_lines(&["tokens_lent", "outcome=lent"]).len() > lent
+        allocator.log_lines(&["tokens_lent", "outcome=lent"]).len() > lent
     })
     .await;
-    wait_for("all that was lent", async || {
+    wait_for("all lent tokens", async || {
         sum_tokens(&borrower.log_lines(&["tokens_borrowed", "outcome=lent"]))
-            == sum_tokens(&keeper.log_lines(&["tokens_lent", "outcome=lent"]))
+            == sum_tokens(&allocator.log_lines(&["tokens_lent", "outcome=lent"]))
     })
     .await;
 }
--- a/crates/beechsaddle/tests/gateway_logs.rs
+++ b/crates/beechsaddle/tests/gateway_logs.rs
@@ -145,7 +145,7 @@
 /// written.
 #[tokio::test]
 async fn unread_log_blocks_nothing() {
-    let mut bench = GatewayBench::start_unread(&draft(1, AMPLE)).await;
+    let mut bench = GatewayBench::start_with_unread_log(&draft(1, AMPLE)).await;
     // 4,096 lines fit in the ring and 64 KiB in the pipe; long ids fill them sooner.
     let filler = "x".repeat(2_000);
     for number in 0..2_500 {
--- a/crates/beechsaddle/tests/gateway_recovery.rs
+++ b/crates/beechsaddle/tests/gateway_recovery.rs
@@ -1,4 +1,4 @@
-//! Tests of tokens that routers had deferred and that come back when these start again.
+//! Tests of the recovery of deferred tokens when routers restart.
 
 mod gateway_support;
 
@@ -13,7 +13,7 @@
     call
 }
 
-/// The largest number that a router has logged of its writes of ledgers under a key.
+/// Returns the largest value of a key in the router's log lines of ledger writes.
 fn largest_logged(router: &GatewayProcess, key: &str) -> u64 {
     let lines = router.log_lines(&["event=ledger_written"]);
     let words = lines.iter().flat_map(|line| line.split_whitespace());
@@ -22,7 +22,7 @@
     numbers.max().unwrap_or(0)
 }
 
-/// Guards against the loss of all that routers hold for outages whenever all of them are killed.
+/// Guards against the loss of the outage reserves of all routers when all of them are killed.
 #[tokio::test]
 async fn restarted_routers_recover_what_was_deferred() {
     let mut bench = GatewayBench::start(&draft(1, TOTAL)).await;
--- a/crates/beechsaddle/tests/gateway_relay.rs
+++ b/crates/beechsaddle/tests/gateway_relay.rs
@@ -167,7 +167,7 @@
 /// four routers watched it for every change.
 #[tokio::test]
 async fn starting_fleet_passes_over_no_follower() {
-    let fleet = RelayFleet::start_with(GatewayProcess::start_seldom_probing).await;
+    let fleet = RelayFleet::start_with(GatewayProcess::start_with_rare_probes).await;
     assert_eq!(fleet.step_count("away").await, 0.0);
 }
 
--- a/crates/beechsaddle/tests/gateway_settings.rs
+++ b/crates/beechsaddle/tests/gateway_settings.rs
@@ -1,10 +1,10 @@
-//! Tests of a gateway's settings: the page, the platform's template, and mistakes.
+//! Tests of a gateway's settings: the documentation, the deployed template, and errors.
 
 use beechsaddle::gateway::GatewaySettings;
 use beechsaddle_core::gateway::EscrowOptions;
 
 #[test]
-fn documented_file_is_right() {
+fn documented_settings_parse() {
     let page = include_str!("../../../docs/GATEWAY.md");
     let start = page.find("```toml\n").expect("a file") + "```toml\n".len();
     let end = start + page[start..].find("```").expect("its end");
@@ -12,13 +12,13 @@
     assert_eq!(settings.grace_ms, 8_000);
     assert_eq!(settings.store.call_timeout.as_millis(), 900);
     assert_eq!(settings.watch_wait.as_millis(), 2_000);
-    assert_eq!(settings.probe_span.as_millis(), 1_000);
+    assert_eq!(settings.probe_interval.as_millis(), 1_000);
 }
 
-/// The platform fills in the template at each start. A key that is spelled wrong there would keep
-/// every router from starting.
+/// The platform fills in the template at each start. A misspelled key in it would prevent every router from
+/// starting.
 #[test]
-fn deployed_template_is_right() {
+fn deployed_template_parses() {
     let template = include_str!("../../../deploy/router.toml");
     let mut text = String::new();
     for (index, piece) in template.split("{{").enumerate() {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn mistakes_are_told_together_with_their_places() {
+fn errors_are_reported_together_with_positions() {
     let text = "[gateway]\nhost = \"a b\"\ndomain = \"d\"\ncall_address = \"here\"\n\
                 ready_address = \"10.0.0.1:1\"\ncall_adress = 1\n[store]\n[retries]\nratio = true\n";
     let findings = GatewaySettings::try_parse("bad.toml", text).expect_err("findings");
@@ -60,10 +60,10 @@
     }
 }
 
-/// A switch of policy that does not exist, and one that is no switch: both are told with their lines, and
-/// nothing is switched by mistake.
+/// An unknown policy switch and one that is not a boolean are both reported with their lines, and no switch
+/// is changed by mistake.
 #[test]
-fn policy_mistakes_are_told() {
+fn policy_errors_are_reported() {
     let text = "[gateway]\nhost = \"h\"\ndomain = \"d\"\ncall_address = \"10.0.0.1:1\"\n\
                 ready_address = \"10.0.0.1:2\"\n[store]\naddress = \"10.0.0.1:3\"\n\
                 [policy]\nfetch_part = true\nleave_full_link = 1\n";
@@ -80,9 +80,9 @@
     assert!(!settings.policy.fetches_parts && settings.policy.keeps_single_runs_near);
 }
 
-/// Amounts that make no sense are told with their lines, and one that is left out stays as it is by default.
+/// Invalid amounts are reported with their lines, and omitted ones keep their defaults.
 #[test]
-fn budget_mistakes_are_told() {
+fn budget_errors_are_reported() {
     let start = "[gateway]\nhost = \"h\"\ndomain = \"d\"\ncall_address = \"10.0.0.1:1\"\n\
                  ready_address = \"10.0.0.1:2\"\n[store]\naddress = \"10.0.0.1:3\"\n[budgets]\n";
     let text = format!("{start}hold_s = -1\nlost_part = 1.5\nlost = 0.1\n");
@@ -97,8 +97,8 @@
     assert_eq!(settings.budgets.least_s, EscrowOptions::default().least_s);
 }
 
-/// Watches wait as long as the platform's bounds allow: a watch that the store forgot has to end, and its
-/// listing to come, before a change that follows has to be in force. Without the bounds they wait 2 s.
+/// Watches wait as long as the platform's bounds allow: a watch that the store has lost has to end, and be
+/// followed by a listing, before a later change has to be in force. Without the bounds they wait 2 s.
 #[test]
 fn watch_wait_follows_the_bounds() {
     let watch_ms = |store: &str| {
--- a/crates/beechsaddle/tests/gateway_shutdown.rs
+++ b/crates/beechsaddle/tests/gateway_shutdown.rs
@@ -1,4 +1,4 @@
-//! Tests of the end of a gateway.
+//! Tests of the shutdown of a gateway and of its readiness.
 
 mod gateway_support;
 
@@ -11,10 +11,10 @@
 
 const AMPLE: u64 = 1_000_000;
 
-/// A router is told to end while it streams. It is not ready from then on, new calls are still
-/// served with a hint to go elsewhere, the stream ends whole, and the process exits with 0.
+/// A router is terminated during a stream. It is no longer ready, still serves new calls but closes their
+/// connections, completes the stream and exits with 0.
 #[tokio::test]
-async fn terminated_router_ends_its_streams() {
+async fn terminated_router_finishes_its_streams() {
     let mut bench = GatewayBench::start(&draft(1, AMPLE)).await;
     for target in &bench.engines {
         target.set_events(30, Duration::from_millis(100));
@@ -39,8 +39,8 @@
     assert_eq!(bench.router.wait_end().await, Some(0));
 }
 
-/// A target never ends its answer. The router waits for most of the grace, then gives the call up
-/// and exits by itself, before it would be killed.
+/// A target never finishes its answer. The router waits for most of the grace period, then aborts the call
+/// and exits by itself before it would be killed.
 #[tokio::test]
 async fn terminated_router_exits_within_the_grace() {
     let mut bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -63,12 +63,12 @@
     assert!(started.elapsed() < Duration::from_secs(6));
 }
 
-/// Callers with large bodies fill the link of a router's host. It says so to the balancer, goes on serving
-/// what comes, and has its callers connect anew, which brings them to other routers. When the load has
-/// gone it is ready again.
+/// Calls with large bodies congest the link of a router's host. The router reports not ready, keeps
+/// serving, and closes callers' connections so that they move to other routers. When the load is gone it is
+/// ready again.
 #[tokio::test]
 async fn full_link_leaves_the_rotation() {
-    let bench = GatewayBench::start_narrow(&draft(1, AMPLE)).await;
+    let bench = GatewayBench::start_with_narrow_link(&draft(1, AMPLE)).await;
     assert!(bench.router.is_ready().await);
     let mut call = request("GET /get/1", "call-1");
     call.body = vec![b'x'; 20_000];
@@ -88,15 +88,16 @@
     assert!(bench.router.is_ready().await);
 }
 
-/// Guards against calls that reach a leaving target as its leaving is told late over the router's own full link.
+/// Guards against calls that reach a draining target because its state arrives late over the router's own
+/// congested link.
 #[tokio::test]
-async fn full_link_without_news_of_targets_takes_no_calls() {
-    let bench = GatewayBench::start_narrow(&draft(1, AMPLE)).await;
+async fn full_link_without_target_updates_takes_no_calls() {
+    let bench = GatewayBench::start_with_narrow_link(&draft(1, AMPLE)).await;
     let mut call = request("GET /get/1", "call-1");
     call.body = vec![b'x'; 20_000];
     bench.store.set_fault(StoreFault::Silent);
     wait_for("a refusal", || async {
-        // The balancer asks whether the router is ready.
+        // The balancer probes the readiness.
         bench.router.is_ready().await;
         let reply = bench.router.call(&call).await;
         reply.status == 503 && reply.body.contains("link_full")
--- a/crates/beechsaddle/tests/gateway_store.rs
+++ b/crates/beechsaddle/tests/gateway_store.rs
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn new_config_comes_into_force() {
+async fn new_config_takes_effect() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     assert_eq!(status_of(&bench, "/more/1").await, 404);
     let mut newer = draft(4, AMPLE);
@@ -34,8 +34,8 @@
     wait_status(&bench, "/more/1", 200).await;
 }
 
-/// The store hands out an older version after a newer one, and then one that cannot be read.
-/// Callers go on as the newest readable version says, and the log tells of the other.
+/// The store returns an older version after a newer one, and then one that cannot be decoded. The newest
+/// valid version stays in force, and the invalid one is logged.
 #[tokio::test]
 async fn older_and_unreadable_configs_change_nothing() {
     let bench = GatewayBench::start(&draft(5, AMPLE)).await;
@@ -52,10 +52,10 @@
     assert_eq!(status_of(&bench, "/get/1").await, 200);
 }
 
-/// The store forgets its history while a watch waits, and a new version is written. The watch is
-/// told so and the router lists again: the version comes into force all the same.
+/// The store compacts its history while a watch waits, and a new version is written. The watch reports it,
+/// the router lists again, and the version comes into force all the same.
 #[tokio::test]
-async fn history_gone_is_listed_again() {
+async fn lost_history_is_relisted() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     let mut newer = draft(2, AMPLE);
     let route = RouteDraft::new("more", "/more/", DraftKind::Idempotent, "plain");
@@ -65,10 +65,10 @@
     wait_status(&bench, "/more/1", 200).await;
 }
 
-/// The store turns calls away, then takes them without answering. Callers are served throughout,
-/// the router stays ready, and what was written meanwhile comes into force after the return.
+/// The store refuses calls, then accepts them without an answer. Calls are served throughout, the router
+/// stays ready, and a version written meanwhile comes into force after the outage.
 #[tokio::test]
-async fn store_away_serving_goes_on() {
+async fn serving_continues_during_store_outage() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     for fault in [StoreFault::Refusing, StoreFault::Silent] {
         bench.store.set_fault(fault);
@@ -88,11 +88,11 @@
     wait_status(&bench, "/more/1", 200).await;
 }
 
-/// The store falls silent while a watch waits, and takes a new version meanwhile; the watch is never
-/// answered, also not after the return. The router would wait for the end of its long watch, but its
-/// probe failed too: it lists anew, and the version is in force within two seconds of the return.
+/// The store becomes silent while a watch waits, receives a new version, and never answers the watch, not
+/// even after the outage. The failed probe makes the router list again without waiting for the end of its
+/// long watch: the version is in force within two seconds of the end of the outage.
 #[tokio::test]
-async fn watch_forgotten_in_an_outage_is_begun_anew() {
+async fn watch_lost_in_an_outage_is_restarted() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     sleep(Duration::from_millis(600)).await;
     bench.store.set_fault(StoreFault::Silent);
@@ -106,11 +106,11 @@
     assert_eq!(status_of(&bench, "/more/1").await, 200);
 }
 
-/// The store falls silent for a moment between two probes, takes a new version, and forgets the watch that
-/// waited for it. No probe fails. The version is in force before three seconds have passed all the same,
-/// since a watch does not wait for longer than two.
+/// The store is silent for a moment between two probes, receives a new version, and loses the waiting
+/// watch. No probe fails. The version is still in force within three seconds, since a watch waits for at
+/// most two.
 #[tokio::test]
-async fn watch_forgotten_between_probes_is_begun_anew() {
+async fn watch_lost_between_probes_is_restarted() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     sleep(Duration::from_millis(600)).await;
     bench.store.set_fault(StoreFault::Silent);
@@ -124,21 +124,21 @@
     assert_eq!(status_of(&bench, "/more/1").await, 200);
 }
 
-/// A store that turns everything away is not asked without pause: some calls a second, not hundreds.
+/// A store that refuses everything is polled with pauses: some calls a second, not hundreds.
 #[tokio::test]
-async fn store_away_is_asked_with_pauses() {
+async fn unavailable_store_is_polled_with_pauses() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     bench.store.set_fault(StoreFault::Refusing);
     bench.router.wait_log(&["store_lost", "duty=targets"]).await;
     let before = bench.store.target_listings();
     sleep(Duration::from_secs(2)).await;
-    let asked = bench.store.target_listings() - before;
-    assert!(asked <= 20, "{asked} calls in two seconds");
+    let listings = bench.store.target_listings() - before;
+    assert!(listings <= 20, "{listings} calls in two seconds");
 }
 
-/// Targets that start change their entries all the time, and a watch ends with the first change. A
-/// router that asked again at once would make a call for each change, and all routers together use up
-/// what the store allows. It waits a moment between two answers, and misses nothing.
+/// Targets that start change their entries constantly, and a watch ends with the first change. If a router
+/// watched again at once, it would make a call for each change, and all routers together would exhaust the
+/// store's rate limit. It pauses between two answers, and misses no change.
 #[tokio::test]
 async fn changing_targets_are_followed_with_pauses() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -155,8 +155,11 @@
     }
     bench.store.remove_target("plain-2");
     bench.router.wait_log(&["target_gone", "plain-2"]).await;
-    let asked = bench.store.target_listings() - before;
-    assert!(asked <= 8, "{asked} calls for 41 changes in 1.6 seconds");
+    let listings = bench.store.target_listings() - before;
+    assert!(
+        listings <= 8,
+        "{listings} calls for 41 changes in 1.6 seconds"
+    );
     let call = request("GET /get/1", "call-1");
     assert_eq!(bench.router.call(&call).await.body, "plain-1");
 }
@@ -180,8 +183,8 @@
     assert!(reply.headers.contains_key("retry-after"));
 }
 
-/// Settings change, first without a signal and then with SIGHUP. The router takes them over without
-/// a restart; settings that cannot be read change nothing and are logged with their place.
+/// Settings change, first without a signal and then with SIGHUP. They are reloaded without a restart;
+/// invalid settings have no effect and are logged with their position.
 #[tokio::test]
 async fn settings_are_reloaded() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -197,11 +200,11 @@
     assert_eq!(status_of(&bench, "/get/1").await, 200);
 }
 
-/// A router waits for news of the configuration when the store turns away each new call, its probes too.
-/// The watch that is waiting is answered all the same: the new version is in force at once, and not only
-/// when the store takes new calls again.
+/// A watch of the configuration waits while the store refuses all new calls and probes. The waiting watch
+/// is still answered: the new version is in force at once, and not only when the store accepts new calls
+/// again.
 #[tokio::test]
-async fn late_watch_brings_news_while_new_calls_fail() {
+async fn pending_watch_delivers_changes_while_new_calls_fail() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     let begun = bench.store.calls("GET config");
     wait_for("a new watch", || async {
@@ -221,9 +224,9 @@
         .await;
 }
 
-/// A target crashes and starts again under its id at another address. Its entry changes, and calls that
-/// follow go there on new connections; then somebody overwrites the entry, which names no target from
-/// then on, until the target writes it again.
+/// A target crashes and restarts under its id at another address. Its entry changes, and later calls go
+/// there on new connections. Then the entry is overwritten with one that names no target, until the target
+/// writes it again.
 #[tokio::test]
 async fn restarted_and_overwritten_entries() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
