--- a/crates/beechsaddle/tests/gateway_support/mod.rs
+++ b/crates/beechsaddle/tests/gateway_support/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway as a process of its own, between stand-ins of the platform's store and targets.
+//! A gateway in a process of its own, with stand-ins of the platform's store and targets.
 
 #![allow(dead_code)]
 
@@ -19,26 +19,27 @@
 
 /// The key of the workspace in all drafts.
 pub const KEY: &str = "key-of-acme";
-/// Within this the routers of a fleet that starts for the first time share a secret and know who looks after what.
+/// Time within which the routers of a fleet that starts for the first time share a secret and know their
+/// roles.
 pub const SETTLE_SPAN: Duration = Duration::from_millis(2_500);
 
-/// How long anything that should happen is waited for.
-const PATIENCE: Duration = Duration::from_secs(8);
+/// Maximum time to wait for an expected event.
+const WAIT_LIMIT: Duration = Duration::from_secs(8);
 
-/// Lines of settings beyond the usual ones, by table.
+/// Additional lines of the settings file, by table.
 #[derive(Debug, Default)]
-struct MoreSettings {
+struct ExtraSettings {
     gateway: &'static str,
     store: &'static str,
     budgets: &'static str,
 }
 
-/// A router's process; dropping it kills it.
+/// The process of a router; dropping it kills the process.
 pub struct GatewayProcess {
     child: Child,
-    /// Where callers reach it.
+    /// The address for callers.
     pub address: SocketAddr,
-    /// Where it tells whether it is ready.
+    /// The address for readiness probes.
     pub ready: SocketAddr,
     settings: PathBuf,
     log: PathBuf,
@@ -47,47 +48,47 @@
 impl GatewayProcess {
     /// Starts a router of a host in a failure domain.
     pub fn start(store: SocketAddr, host: &str, domain: &str) -> Self {
-        GatewayProcess::start_with(store, host, domain, true, &MoreSettings::default())
+        GatewayProcess::start_with(store, host, domain, true, &ExtraSettings::default())
     }
 
-    /// Starts a router that probes the store every 30 s, unless something has it probe sooner.
-    pub fn start_seldom_probing(store: SocketAddr, host: &str, domain: &str) -> Self {
-        let more = MoreSettings {
+    /// Starts a router that probes the store only every 30 s, unless an event triggers a probe.
+    pub fn start_with_rare_probes(store: SocketAddr, host: &str, domain: &str) -> Self {
+        let extra = ExtraSettings {
             store: "probe_ms = 30000\n",
-            ..MoreSettings::default()
+            ..ExtraSettings::default()
         };
-        GatewayProcess::start_with(store, host, domain, true, &more)
+        GatewayProcess::start_with(store, host, domain, true, &extra)
     }
 
     /// Starts a router on a host with a link of 2 Mbit/s.
-    pub fn start_narrow(store: SocketAddr, host: &str, domain: &str) -> Self {
-        let more = MoreSettings {
+    pub fn start_with_narrow_link(store: SocketAddr, host: &str, domain: &str) -> Self {
+        let extra = ExtraSettings {
             gateway: "link_mbps = 2\n",
-            ..MoreSettings::default()
+            ..ExtraSettings::default()
         };
-        GatewayProcess::start_with(store, host, domain, true, &more)
+        GatewayProcess::start_with(store, host, domain, true, &extra)
     }
 
-    /// Starts a router that holds no tokens ahead but for one call like the largest.
-    pub fn start_holding_little(store: SocketAddr, host: &str, domain: &str) -> Self {
-        let more = MoreSettings {
+    /// Starts a router that holds no tokens in advance, except for one call as large as the largest.
+    pub fn start_with_low_holdings(store: SocketAddr, host: &str, domain: &str) -> Self {
+        let extra = ExtraSettings {
             budgets: "hold_s = 0\nleast_s = 0\nfirst_part = 0\n",
-            ..MoreSettings::default()
+            ..ExtraSettings::default()
         };
-        GatewayProcess::start_with(store, host, domain, true, &more)
+        GatewayProcess::start_with(store, host, domain, true, &extra)
     }
 
-    /// Starts a router whose log nobody reads.
-    pub fn start_unread(store: SocketAddr, host: &str, domain: &str) -> Self {
-        GatewayProcess::start_with(store, host, domain, false, &MoreSettings::default())
+    /// Starts a router whose log is written to a pipe that is never read.
+    pub fn start_with_unread_log(store: SocketAddr, host: &str, domain: &str) -> Self {
+        GatewayProcess::start_with(store, host, domain, false, &ExtraSettings::default())
     }
 
     fn start_with(
         store: SocketAddr,
         host: &str,
         domain: &str,
-        is_read: bool,
-        more: &MoreSettings,
+        reads_log: bool,
+        extra: &ExtraSettings,
     ) -> Self {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
         let address = free_address().expect("an address");
@@ -96,9 +97,9 @@
         let settings = folder.join(format!("{name}.toml"));
         let log = folder.join(format!("{name}.log"));
         let peer = free_address().expect("an address");
-        let text = settings_text(store, host, domain, [address, ready, peer], more);
+        let text = settings_text(store, host, domain, [address, ready, peer], extra);
         fs::write(&settings, text).expect("settings");
-        let output = match is_read {
+        let output = match reads_log {
             true => Stdio::from(fs::File::create(&log).expect("a log file")),
             false => Stdio::piped(),
         };
@@ -117,9 +118,9 @@
         }
     }
 
-    /// Kills it and starts another one on its host, with the same settings and an empty log.
+    /// Kills the process and starts another one on the same host, with the same settings and an empty log.
     pub fn restart(&mut self) {
-        // It may have ended by itself.
+        // The process may have ended by itself.
         let _ = self.child.kill();
         let _ = self.child.wait();
         self.child = Command::new(env!("CARGO_BIN_EXE_beechsaddle"))
@@ -130,52 +131,51 @@
             .expect("a router");
     }
 
-    /// Waits until it is ready.
+    /// Waits until the router is ready.
     pub async fn wait_ready(&self) {
         wait_for("readiness", || async { self.is_ready().await }).await;
     }
 
-    /// Whether it says that it is ready.
+    /// Whether the router reports ready.
     pub async fn is_ready(&self) -> bool {
         let request = CallRequest::new(READY_LINE, "ready", KEY);
         let reply = call(self.ready, &request).await;
         reply.is_ok_and(|reply| reply.status == 200)
     }
 
-    /// Makes a call.
     pub async fn call(&self, request: &CallRequest) -> CallReply {
         call(self.address, request).await.expect("an answer")
     }
 
-    /// A metric whose line begins so; `None` if there is no such line.
-    pub async fn metric(&self, beginning: &str) -> Option<f64> {
+    /// Returns the value of the first metric whose line starts with the prefix, or `None` if there is none.
+    pub async fn metric(&self, prefix: &str) -> Option<f64> {
         let request = CallRequest::new("GET /metrics", "metrics", KEY);
         let reply = call(self.ready, &request).await.expect("metrics");
-        let beginning = format!("beechsaddle_{beginning}");
+        let prefix = format!("beechsaddle_{prefix}");
         let mut lines = reply.body.lines();
-        let line = lines.find(|line| line.starts_with(&beginning))?;
+        let line = lines.find(|line| line.starts_with(&prefix))?;
         line.rsplit(' ').next()?.parse().ok()
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let id = i32::try_from(self.child.id()).expect("a process id");
         kill(Pid::from_raw(id), signal).expect("a signal");
     }
 
-    /// The processor time that it has used, in milliseconds.
+    /// Returns the processor time used by the process, in milliseconds.
     pub fn processor_ms(&self) -> u64 {
         let stat =
             fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("its status");
-        // The name in parentheses may hold spaces; behind it user and system time are the 12th and
-        // 13th fields, in hundredths of a second.
+        // The name in parentheses may contain spaces. User and system time are the 12th and 13th field
+        // after it, in hundredths of a second.
         let (_, fields) = stat.rsplit_once(')').expect("a name");
         let fields: Vec<_> = fields.split_whitespace().collect();
         let ticks = |index: usize| fields[index].parse::<u64>().expect("a number");
         (ticks(11) + ticks(12)) * 10
     }
 
-    /// Waits for its end and gives its exit code.
+    /// Waits for the end of the process and returns its exit code.
     pub async fn wait_end(&mut self) -> Option<i32> {
         let until = Instant::now() + Duration::from_secs(15);
         while Instant::now() < until {
@@ -184,27 +184,27 @@
             }
             sleep(Duration::from_millis(20)).await;
         }
-        panic!("the router did not end");
+        panic!("the router did not exit within 15 s");
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         self.child.try_wait().expect("its status").is_some()
     }
 
-    /// Changes its settings file.
+    /// Replaces a text in the settings file.
     pub fn edit_settings(&self, from: &str, to: &str) {
         let text = fs::read_to_string(&self.settings).expect("settings");
         assert!(text.contains(from), "the settings have no {from:?}");
         fs::write(&self.settings, text.replace(from, to)).expect("settings");
     }
 
-    /// Where its log is.
+    /// Returns the path of the log.
     pub fn log_path(&self) -> String {
         self.log.display().to_string()
     }
 
-    /// Its log lines with all of some words.
+    /// Returns the log lines that contain all of the words.
     pub fn log_lines(&self, words: &[&str]) -> Vec<String> {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
         let lines = text.lines();
@@ -212,9 +212,9 @@
         lines.map(str::to_owned).collect()
     }
 
-    /// Waits for a log line with all of some words.
+    /// Waits for a log line that contains all of the words.
     pub async fn wait_log(&self, words: &[&str]) -> String {
-        wait_for(&format!("a line with {words:?}"), || async {
+        wait_for(&format!("a log line with {words:?}"), || async {
             !self.log_lines(words).is_empty()
         })
         .await;
@@ -224,7 +224,7 @@
 
 impl Drop for GatewayProcess {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have ended by itself.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -235,13 +235,13 @@
     host: &str,
     domain: &str,
     [address, ready, peer]: [SocketAddr; 3],
-    more: &MoreSettings,
+    extra: &ExtraSettings,
 ) -> String {
-    let MoreSettings {
+    let ExtraSettings {
         gateway,
         store: store_lines,
         budgets,
-    } = more;
+    } = extra;
     format!(
         "[gateway]\nhost = \"{host}\"\ndomain = \"{domain}\"\ncall_address = \"{address}\"\n\
          ready_address = \"{ready}\"\npeer_address = \"{peer}\"\ngrace_s = 6\n{gateway}\n\
@@ -253,18 +253,16 @@
 
 /// A router with a store and targets.
 pub struct GatewayBench {
-    /// The store.
     pub store: StoreStandIn,
     /// Targets of the service `plain`.
     pub plain: Vec<TargetStandIn>,
     /// Targets of the service `engine`.
     pub engines: Vec<TargetStandIn>,
-    /// The router.
     pub router: GatewayProcess,
 }
 
 impl GatewayBench {
-    /// Starts two targets of each service and a router, and waits until all is in force.
+    /// Starts two targets of each service and a router, and waits until the router knows all targets.
     pub async fn start(draft: &ConfigDraft) -> Self {
         let bench = GatewayBench::start_with(draft, GatewayProcess::start).await;
         for target in bench.plain.iter().chain(&bench.engines) {
@@ -274,23 +272,24 @@
         bench
     }
 
-    /// The same with a router that holds no tokens ahead but for one call like the largest.
-    pub async fn start_holding_little(draft: &ConfigDraft) -> Self {
-        let bench = GatewayBench::start_with(draft, GatewayProcess::start_holding_little).await;
+    /// Starts the same with a router that holds no tokens in advance, except for one call as large as the
+    /// largest.
+    pub async fn start_with_low_holdings(draft: &ConfigDraft) -> Self {
+        let bench = GatewayBench::start_with(draft, GatewayProcess::start_with_low_holdings).await;
         bench.router.wait_log(&["target_joined", "engine-1"]).await;
         bench
     }
 
-    /// The same with a router on a host with a narrow link.
-    pub async fn start_narrow(draft: &ConfigDraft) -> Self {
-        let bench = GatewayBench::start_with(draft, GatewayProcess::start_narrow).await;
+    /// Starts the same with a router on a host with a slow link.
+    pub async fn start_with_narrow_link(draft: &ConfigDraft) -> Self {
+        let bench = GatewayBench::start_with(draft, GatewayProcess::start_with_narrow_link).await;
         bench.router.wait_log(&["target_joined", "plain-1"]).await;
         bench
     }
 
-    /// The same with a router whose log nobody reads.
-    pub async fn start_unread(draft: &ConfigDraft) -> Self {
-        let bench = GatewayBench::start_with(draft, GatewayProcess::start_unread).await;
+    /// Starts the same with a router whose log is never read.
+    pub async fn start_with_unread_log(draft: &ConfigDraft) -> Self {
+        let bench = GatewayBench::start_with(draft, GatewayProcess::start_with_unread_log).await;
         wait_for("targets", || async {
             bench
                 .router
@@ -321,13 +320,13 @@
         }
     }
 
-    /// How often the targets of a service ran something.
+    /// Returns how often targets executed a request.
     pub fn run_count(targets: &[TargetStandIn]) -> usize {
         let runs = targets.iter().flat_map(TargetStandIn::runs);
         runs.filter(|run| run.is_run).count()
     }
 
-    /// How often something reached targets.
+    /// Returns how often requests reached targets.
     pub fn arrival_count(targets: &[TargetStandIn]) -> usize {
         targets.iter().map(|target| target.runs().len()).sum()
     }
@@ -344,7 +343,7 @@
     targets
 }
 
-/// A configuration with a route of each kind and one workspace.
+/// Returns a configuration with a route of each kind and one workspace.
 pub fn draft(version: u64, prepaid: u64) -> ConfigDraft {
     let mut resumable = RouteDraft::new("resumable", "/stream/on/", DraftKind::Stream, "engine");
     resumable.is_resumable = true;
@@ -362,15 +361,15 @@
     }
 }
 
-/// A call to a path with the workspace's key.
+/// Returns a call to a path with the workspace's key.
 pub fn request(line: &str, id: &str) -> CallRequest {
     CallRequest::new(line, id, KEY)
 }
 
-/// Waits until something is so.
-pub async fn wait_for<F: Future<Output = bool>>(what: &str, mut is_so: impl FnMut() -> F) {
-    let until = Instant::now() + PATIENCE;
-    while !is_so().await {
+/// Waits until a condition is met; `what` names it in the panic message.
+pub async fn wait_for<F: Future<Output = bool>>(what: &str, mut is_met: impl FnMut() -> F) {
+    let until = Instant::now() + WAIT_LIMIT;
+    while !is_met().await {
         assert!(Instant::now() < until, "no {what} in time");
         sleep(Duration::from_millis(15)).await;
     }
