--- a/crates/beechsaddle/src/report/report_edge.rs
+++ b/crates/beechsaddle/src/report/report_edge.rs
@@ -1,4 +1,4 @@
-//! The `report_edge` module provides the thread that logs and counts.
+//! The `report_edge` module provides the thread that writes logs and metrics.
 
 use std::io;
 use std::sync::Arc;
@@ -13,13 +13,13 @@
 use super::metric_sink::MetricSink;
 use super::{ReportHandle, ReportOptions};
 
-/// Logs and counts on a thread of its own until the last handle is dropped.
+/// Writes logs and metrics on its own thread until the last handle is dropped.
 pub struct ReportEdge {
     ring: Receiver<ReportAction>,
     dropped: Arc<AtomicU64>,
     log: LogSink,
     metrics: MetricSink,
-    flush_span: Duration,
+    flush_interval: Duration,
 }
 
 impl ReportEdge {
@@ -27,7 +27,7 @@
     ///
     /// # Errors
     ///
-    /// When the socket for metrics or the thread cannot be made.
+    /// If the socket for metrics or the thread cannot be created.
     pub fn try_start(options: ReportOptions) -> io::Result<(ReportHandle, JoinHandle<()>)> {
         let (handle, ring) = ReportHandle::with_ring(options.ring_size);
         let edge = ReportEdge {
@@ -35,7 +35,7 @@
             dropped: handle.dropped(),
             log: LogSink::new(options.writer, options.level, options.router),
             metrics: MetricSink::try_new(options.statsd, &options.prefix)?,
-            flush_span: Duration::from_millis(options.flush_ms.max(1)),
+            flush_interval: Duration::from_millis(options.flush_ms.max(1)),
         };
         let thread = Builder::new()
             .name("report".to_owned())
@@ -44,7 +44,7 @@
     }
 
     fn run(mut self) {
-        let mut flush_at = Instant::now() + self.flush_span;
+        let mut flush_at = Instant::now() + self.flush_interval;
         loop {
             match self.ring.recv_deadline(flush_at) {
                 Ok(action) => self.handle(action),
@@ -53,7 +53,7 @@
             }
             if Instant::now() >= flush_at {
                 self.flush();
-                flush_at = Instant::now() + self.flush_span;
+                flush_at = Instant::now() + self.flush_interval;
             }
         }
         self.flush();
@@ -69,13 +69,13 @@
     }
 
     fn flush(&mut self) {
-        self.tell_dropped();
+        self.log_dropped();
         self.metrics.flush();
     }
 
-    // A gap in the log looks like a quiet router. The line that tells how much is missing comes from
-    // this thread and needs no place in the ring that was full.
-    fn tell_dropped(&mut self) {
+    // A gap in the log would look like an idle router. The line with the number of dropped reports
+    // is written by this thread directly and needs no slot in the full ring.
+    fn log_dropped(&mut self) {
         let count = ReportHandle::take_dropped(&self.dropped);
         if count == 0 {
             return;
--- a/crates/beechsaddle/src/report/report_handle.rs
+++ b/crates/beechsaddle/src/report/report_handle.rs
@@ -1,4 +1,4 @@
-//! The `report_handle` module provides the way to the report edge.
+//! The `report_handle` module provides the handle that sends to the report edge.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,7 +6,7 @@
 use beechsaddle_core::report::{CounterName, LogLevel, LogLine, ReportAction};
 use crossbeam_channel::{Receiver, Sender, TrySendError};
 
-/// Hands lines and counts to the report edge. All clones share one ring.
+/// Sends lines and counts to the report edge. All clones share one ring.
 #[derive(Clone, Debug)]
 pub struct ReportHandle {
     ring: Sender<ReportAction>,
@@ -14,7 +14,7 @@
 }
 
 impl ReportHandle {
-    /// A handle and the end of its ring that is read.
+    /// Creates a handle and the receiver of its ring.
     pub(super) fn with_ring(size: usize) -> (Self, Receiver<ReportAction>) {
         let (ring, receiver) = crossbeam_channel::bounded(size);
         let handle = ReportHandle {
@@ -24,7 +24,7 @@
         (handle, receiver)
     }
 
-    /// Hands over an action without ever waiting; what does not fit is dropped and counted.
+    /// Sends an action without blocking. An action that does not fit is dropped and counted.
     pub fn send(&self, action: ReportAction) {
         match self.ring.try_send(action) {
             Ok(()) | Err(TrySendError::Disconnected(_)) => {}
@@ -34,12 +34,11 @@
         }
     }
 
-    /// Counts by one.
+    /// Increments a counter.
     pub fn count(&self, counter: CounterName) {
         self.send(ReportAction::Count(counter));
     }
 
-    /// Logs a line.
     pub fn log(
         &self,
         level: LogLevel,
@@ -53,12 +52,12 @@
         }));
     }
 
-    /// How many actions were dropped since this was last asked.
+    /// Returns the number of actions dropped since the previous call.
     pub(super) fn take_dropped(dropped: &AtomicU64) -> u64 {
         dropped.swap(0, Ordering::Relaxed)
     }
 
-    /// The count of dropped actions, for the thread that tells it.
+    /// Returns the counter of dropped actions, for the thread that reports it.
     pub(super) fn dropped(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.dropped)
     }
--- a/crates/beechsaddle/src/report/report_options.rs
+++ b/crates/beechsaddle/src/report/report_options.rs
@@ -1,4 +1,4 @@
-//! The `report_options` module provides where log lines and metrics go.
+//! The `report_options` module provides the options of the report edge.
 
 use std::fmt;
 use std::io;
@@ -6,34 +6,35 @@
 
 use beechsaddle_core::report::LogLevel;
 
-/// How many lines and counts may wait. At the 33 calls a second that a router has at the planned
-/// size, with some ten reports each, this is twelve seconds of a blocked log reader.
+/// The capacity of the ring. At the 33 calls per second of a router at the planned size, with about
+/// ten reports each, it covers twelve seconds of a blocked log reader.
 const RING_SIZE: usize = 4_096;
 
-/// How often metrics are sent, in milliseconds. Counts are summed in between, so that their bytes
-/// depend on how many counters move and not on how many calls there are.
+/// The interval at which metrics are sent, in milliseconds. Counters are summed in between, so that
+/// the traffic depends on the number of counters that change and not on the number of calls.
 const FLUSH_MS: u64 = 1_000;
 
-/// Where log lines and metrics go.
+/// The options of the report edge.
 pub struct ReportOptions {
-    /// Lines that matter less are dropped.
+    /// The lowest level that is logged.
     pub level: LogLevel,
-    /// The StatsD server; `None` sends no metrics.
+    /// The address of the StatsD server, `None` to send no metrics.
     pub statsd: Option<SocketAddr>,
-    /// The first part of every metric's name.
+    /// The prefix of every metric's name.
     pub prefix: String,
-    /// The router's name on each line; empty for none.
+    /// The router's name on each line, empty for none.
     pub router: String,
-    /// How many lines and counts may wait to be written.
+    /// The number of lines and counts that may wait to be written.
     pub ring_size: usize,
-    /// How often metrics are sent, in milliseconds.
+    /// The interval at which metrics are sent, in milliseconds.
     pub flush_ms: u64,
-    /// Where lines go.
+    /// The destination of log lines.
     pub writer: Box<dyn io::Write + Send>,
 }
 
 impl ReportOptions {
-    /// Lines of level info and above to standard error, and no metrics.
+    /// Creates options that write lines of level info and above to standard error, and send no
+    /// metrics.
     pub fn new(router: impl Into<String>) -> Self {
         ReportOptions {
             level: LogLevel::Info,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Sends lines elsewhere.
+    /// Sets the destination of log lines.
     #[must_use]
     pub fn with_writer(mut self, writer: impl io::Write + Send + 'static) -> Self {
         self.writer = Box::new(writer);
--- a/crates/beechsaddle/src/settings/budget_settings.rs
+++ b/crates/beechsaddle/src/settings/budget_settings.rs
@@ -5,19 +5,21 @@
 /// How budgets are held and journalled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BudgetSettings {
-    /// Ledger shards of a new fleet; a fleet that exists keeps the count of its layout.
+    /// Ledger shards of a new fleet. An existing fleet keeps the count in its layout.
     pub ledger_shards: u32,
-    /// Dedup shards of a new fleet; a fleet that exists keeps the count of its layout.
+    /// Dedup shards of a new fleet. An existing fleet keeps the count in its layout.
     pub dedup_shards: u32,
-    /// How long a holder can sit out an outage of the platform on an ample budget.
+    /// How long the tokens of a holder last during an outage of the platform, if the budget is
+    /// ample.
     pub endurance_ms: u64,
-    /// The largest share of what is left of a budget that a mark runs ahead, in thousandths.
+    /// The largest share of a budget's remainder that a holder's high-water mark may run ahead, in
+    /// thousandths.
     pub endurance_share_permille: u64,
-    /// How often a journal is written while there is news.
+    /// The interval at which a journal with new entries is written.
     pub journal_period_ms: u64,
-    /// How long a grant may lie idle before it is given back.
+    /// How long a grant may stay unused before it is returned.
     pub idle_grant_ms: u64,
-    /// How long a dedup record is kept.
+    /// The retention period of a dedup record.
     pub dedup_retention_ms: u64,
 }
 
@@ -36,7 +38,7 @@
 }
 
 impl BudgetSettings {
-    /// Reads the table; absent keys keep their defaults.
+    /// Reads the table. Absent keys have their defaults.
     pub fn read(reader: &TableReader<'_>, findings: &mut FindingList) -> Self {
         let default = BudgetSettings::default();
         let settings = BudgetSettings {
@@ -78,7 +80,7 @@
     }
 }
 
-/// The largest shard count; each shard is an object that some routers read.
+/// The largest shard count. Each shard is an object that some routers read.
 const SHARDS_MAX: u64 = 65_536;
 
 fn read_shards(
--- a/crates/beechsaddle/src/settings/limit_settings.rs
+++ b/crates/beechsaddle/src/settings/limit_settings.rs
@@ -2,24 +2,24 @@
 
 use crate::findings::{FindingList, TableReader};
 
-/// What a router allows its callers.
+/// The limits that a router sets for its callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitSettings {
     /// The largest request body, in bytes.
     pub body_bytes: u64,
     /// The largest request head, in bytes.
     pub header_bytes: u64,
-    /// How long a caller may take to send the head of a request.
+    /// The time limit for receiving the head of a request.
     pub header_timeout_ms: u64,
-    /// How long a caller may take to send the body of a request.
+    /// The time limit for receiving the body of a request.
     pub body_timeout_ms: u64,
-    /// How long a connection without a request is kept open.
+    /// How long a connection without a request stays open.
     pub idle_timeout_ms: u64,
-    /// How long a caller may leave an answer unread before its call is cancelled.
+    /// How long a caller may leave a response unread before its call is cancelled.
     pub write_timeout_ms: u64,
-    /// The most connections of callers at a time.
+    /// The maximum number of caller connections at a time.
     pub connections: u64,
-    /// The most calls at a time.
+    /// The maximum number of calls at a time.
     pub calls: u64,
     /// How long a graceful shutdown waits for open calls.
     pub drain_ms: u64,
@@ -42,7 +42,7 @@
 }
 
 impl LimitSettings {
-    /// Reads the table; absent keys keep their defaults.
+    /// Reads the table. Absent keys have their defaults.
     pub fn read(reader: &TableReader<'_>, findings: &mut FindingList) -> Self {
         let default = LimitSettings::default();
         let settings = LimitSettings {
@@ -58,25 +58,25 @@
                 1_024..=1_048_576,
                 findings,
             ),
-            header_timeout_ms: read_span(
+            header_timeout_ms: read_duration(
                 reader,
                 "header_timeout_ms",
                 default.header_timeout_ms,
                 findings,
             ),
-            body_timeout_ms: read_span(
+            body_timeout_ms: read_duration(
                 reader,
                 "body_timeout_ms",
                 default.body_timeout_ms,
                 findings,
             ),
-            idle_timeout_ms: read_span(
+            idle_timeout_ms: read_duration(
                 reader,
                 "idle_timeout_ms",
                 default.idle_timeout_ms,
                 findings,
             ),
-            write_timeout_ms: read_span(
+            write_timeout_ms: read_duration(
                 reader,
                 "write_timeout_ms",
                 default.write_timeout_ms,
@@ -89,16 +89,21 @@
                 findings,
             ),
             calls: reader.read_u64_or("calls", default.calls, 1..=1_000_000, findings),
-            drain_ms: read_span(reader, "drain_ms", default.drain_ms, findings),
+            drain_ms: read_duration(reader, "drain_ms", default.drain_ms, findings),
         };
         reader.finish(findings);
         settings
     }
 }
 
-/// The longest time limit: a day.
-const SPAN_MAX_MS: u64 = 86_400_000;
+/// The longest time limit: one day.
+const DURATION_MAX_MS: u64 = 86_400_000;
 
-fn read_span(reader: &TableReader<'_>, key: &str, default: u64, findings: &mut FindingList) -> u64 {
-    reader.read_u64_or(key, default, 100..=SPAN_MAX_MS, findings)
+fn read_duration(
+    reader: &TableReader<'_>,
+    key: &str,
+    default: u64,
+    findings: &mut FindingList,
+) -> u64 {
+    reader.read_u64_or(key, default, 100..=DURATION_MAX_MS, findings)
 }
--- a/crates/beechsaddle/src/settings/log_settings.rs
+++ b/crates/beechsaddle/src/settings/log_settings.rs
@@ -4,10 +4,10 @@
 
 use crate::findings::{FindingList, TableReader};
 
-/// What is logged.
+/// The settings of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// Lines that matter less are dropped.
+    /// The lowest level that is logged.
     pub level: LogLevel,
 }
 
@@ -20,15 +20,15 @@
 }
 
 impl LogSettings {
-    /// Reads the table; absent keys keep their defaults.
+    /// Reads the table. Absent keys have their defaults.
     pub fn read(reader: &TableReader<'_>, findings: &mut FindingList) -> Self {
-        let words = [
+        let choices = [
             ("debug", LogLevel::Debug),
             ("info", LogLevel::Info),
             ("warning", LogLevel::Warning),
             ("error", LogLevel::Error),
         ];
-        let level = reader.read_word("level", &words, findings);
+        let level = reader.read_choice("level", &choices, findings);
         reader.finish(findings);
         LogSettings {
             level: level.unwrap_or(LogSettings::default().level),
--- a/crates/beechsaddle/src/settings/metric_settings.rs
+++ b/crates/beechsaddle/src/settings/metric_settings.rs
@@ -4,12 +4,12 @@
 
 use crate::findings::{FindingList, TableReader};
 
-/// Where metrics go.
+/// The destination and prefix of metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetricSettings {
-    /// The StatsD server; `None` sends no metrics.
+    /// The address of the StatsD server, `None` to send no metrics.
     pub statsd: Option<SocketAddr>,
-    /// The first part of every metric's name.
+    /// The prefix of every metric's name.
     pub prefix: String,
 }
 
@@ -23,12 +23,12 @@
 }
 
 impl MetricSettings {
-    /// Reads the table; absent keys keep their defaults.
+    /// Reads the table. Absent keys have their defaults.
     pub fn read(reader: &TableReader<'_>, findings: &mut FindingList) -> Self {
         let default = MetricSettings::default();
         let statsd = reader.read_address("statsd", findings);
         let prefix = match reader.has("prefix") {
-            true => reader.need_name("prefix", findings),
+            true => reader.require_name("prefix", findings),
             false => reader.read_text("prefix", findings),
         };
         reader.finish(findings);
--- a/crates/beechsaddle/src/settings/mod.rs
+++ b/crates/beechsaddle/src/settings/mod.rs
@@ -1,6 +1,6 @@
-//! The `settings` module provides what a router is told about itself by its TOML file.
+//! The `settings` module provides the settings of a router, read from its TOML file.
 //!
-//! All findings of a file are reported together, and a router never starts on doubtful settings.
+//! All findings of a file are reported together, and a router does not start with invalid settings.
 //! `docs/SETTINGS.md` lists every key with its default.
 
 mod budget_settings;
@@ -23,9 +23,9 @@
 pub use platform_settings::PlatformSettings;
 pub use router_settings::RouterSettings;
 pub use routing_settings::RoutingSettings;
-pub(crate) use settings_file::{load_settings, need_table, parse_settings};
+pub(crate) use settings_file::{load_settings, parse_settings, require_table};
 
 use crate::findings::FindingList;
 
-/// What is wrong with a settings file.
+/// The findings of a settings file.
 pub type SettingsFindings = FindingList;
--- a/crates/beechsaddle/src/settings/peer_secret.rs
+++ b/crates/beechsaddle/src/settings/peer_secret.rs
@@ -1,23 +1,23 @@
-//! The `peer_secret` module provides the secret that routers show each other.
+//! The `peer_secret` module provides the shared secret by which routers authenticate each other.
 
 use std::fmt;
 
 /// The secret that all routers of a fleet share.
 ///
-/// Its `Debug` form hides it, because settings end up in logs and error reports.
+/// Its `Debug` form hides the value, because settings are printed in logs and error reports.
 #[derive(Clone, PartialEq, Eq)]
 pub struct PeerSecret(String);
 
 impl PeerSecret {
-    /// The shortest secret, in bytes: as many as a 128-bit number has in hexadecimal.
+    /// The shortest secret, in bytes: the length of a 128-bit number in hexadecimal.
     pub const BYTES_MIN: usize = 32;
 
-    /// Wraps a secret.
+    /// Creates a secret.
     pub fn new(secret: impl Into<String>) -> Self {
         PeerSecret(secret.into())
     }
 
-    /// The secret itself.
+    /// Returns the secret's value.
     pub fn reveal(&self) -> &str {
         &self.0
     }
--- a/crates/beechsaddle/src/settings/peer_settings.rs
+++ b/crates/beechsaddle/src/settings/peer_settings.rs
@@ -8,38 +8,37 @@
 use super::PeerSecret;
 use crate::findings::{FindingList, TableReader};
 
-/// How routers talk to each other.
+/// The settings of the connections between routers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSettings {
-    /// What routers show each other.
+    /// The secret by which routers authenticate each other.
     pub secret: PeerSecret,
-    /// How often a router tells its peers that it is alive.
+    /// The interval of heartbeats.
     pub heartbeat_ms: u64,
-    /// A peer that was not heard for so long counts as down.
+    /// The time without a message after which a peer counts as down.
     pub down_after_ms: u64,
-    /// How many routers of a domain talk to other domains.
+    /// The number of routers of a domain that connect to other domains.
     pub bridges: u64,
-    /// How many routers of a domain watch the catalogue at the platform.
+    /// The number of routers of a domain that watch the catalogue at the platform.
     pub watchers: u64,
-    /// How long a connection to a peer may take.
+    /// The time limit for connecting to a peer.
     pub connect_timeout_ms: u64,
-    /// Routers to begin with while the platform is away.
+    /// Routers to contact at start while the platform is unavailable.
     pub seeds: Vec<SeedSettings>,
 }
 
-/// A router to begin with while the platform is away.
+/// A router to contact at start while the platform is unavailable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeedSettings {
-    /// Its host.
     pub host: HostName,
-    /// Its domain.
+    /// Its failure domain.
     pub domain: DomainName,
-    /// Where its peers reach it.
+    /// The address for connections from peers.
     pub address: SocketAddr,
 }
 
 impl PeerSettings {
-    /// Reads the table; `None` when there is no usable secret.
+    /// Reads the table, and returns `None` if there is no usable secret.
     pub fn read(reader: &TableReader<'_>, findings: &mut FindingList) -> Option<Self> {
         let secret = read_secret(reader, findings);
         let heartbeat_ms = reader.read_u64_or("heartbeat_ms", 1_000, 50..=60_000, findings);
@@ -49,12 +48,12 @@
             100..=600_000,
             findings,
         );
-        // One lost or late heartbeat must not make a healthy peer count as down.
+        // One lost or late heartbeat must not mark a healthy peer as down.
         if down_after_ms < heartbeat_ms.saturating_mul(2) {
-            let what = format!(
+            let message = format!(
                 "is {down_after_ms}; at least twice `heartbeat_ms`, {heartbeat_ms}, would be right"
             );
-            reader.report("down_after_ms", what, findings);
+            reader.report("down_after_ms", message, findings);
         }
         let bridges = reader.read_u64_or("bridges", 2, 1..=16, findings);
         let watchers = reader.read_u64_or("watchers", 2, 1..=16, findings);
@@ -75,14 +74,14 @@
 }
 
 fn read_secret(reader: &TableReader<'_>, findings: &mut FindingList) -> Option<PeerSecret> {
-    let secret = reader.need_text("secret", findings)?;
+    let secret = reader.require_text("secret", findings)?;
     if secret.len() < PeerSecret::BYTES_MIN {
-        let what = format!(
+        let message = format!(
             "has {} bytes; at least {} random ones would be right",
             secret.len(),
             PeerSecret::BYTES_MIN
         );
-        reader.report("secret", what, findings);
+        reader.report("secret", message, findings);
     }
     Some(PeerSecret::new(secret))
 }
@@ -96,15 +95,15 @@
             continue;
         };
         if !hosts.insert(seed.host.clone()) {
-            let what = format!("{} is a seed already; once would be right", seed.host);
-            table.report("host", what, findings);
+            let message = format!("{} is a seed already; once would be right", seed.host);
+            table.report("host", message, findings);
         }
         if !addresses.insert(seed.address) {
-            let what = format!(
+            let message = format!(
                 "{} is the address of another seed; an own one would be right",
                 seed.address
             );
-            table.report("address", what, findings);
+            table.report("address", message, findings);
         }
         seeds.push(seed);
     }
@@ -112,9 +111,9 @@
 }
 
 fn read_seed(reader: &TableReader<'_>, findings: &mut FindingList) -> Option<SeedSettings> {
-    let host = reader.need_name("host", findings);
-    let domain = reader.need_name("domain", findings);
-    let address = reader.need_address("address", findings);
+    let host = reader.require_name("host", findings);
+    let domain = reader.require_name("domain", findings);
+    let address = reader.require_address("address", findings);
     reader.finish(findings);
     Some(SeedSettings {
         host: HostName::new(host?),
--- a/crates/beechsaddle/src/settings/platform_settings.rs
+++ b/crates/beechsaddle/src/settings/platform_settings.rs
@@ -4,19 +4,19 @@
 
 use crate::findings::{FindingList, TableReader};
 
-/// Where the platform's object API is.
+/// The settings of the connection to the platform's object API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformSettings {
-    /// Where it listens.
+    /// The address of the object API.
     pub address: SocketAddr,
-    /// How long a call may take before its outcome counts as unknown.
+    /// The time limit of a call, after which its outcome counts as unknown.
     pub timeout_ms: u64,
 }
 
 impl PlatformSettings {
-    /// Reads the table; `None` when there is no usable address.
+    /// Reads the table, and returns `None` if there is no usable address.
     pub fn read(reader: &TableReader<'_>, findings: &mut FindingList) -> Option<Self> {
-        let address = reader.need_address("address", findings);
+        let address = reader.require_address("address", findings);
         let timeout_ms = reader.read_u64_or("timeout_ms", 2_000, 50..=60_000, findings);
         reader.finish(findings);
         Some(PlatformSettings {
--- a/crates/beechsaddle/src/settings/router_settings.rs
+++ b/crates/beechsaddle/src/settings/router_settings.rs
@@ -1,4 +1,4 @@
-//! The `router_settings` module provides the whole settings file of a router.
+//! The `router_settings` module provides the settings file of a router.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,41 +6,34 @@
 
 use beechsaddle_core::prelude::*;
 
-use super::settings_file::{load_settings, need_table, parse_settings};
+use super::settings_file::{load_settings, parse_settings, require_table};
 use super::{
     BudgetSettings, LimitSettings, LogSettings, MetricSettings, PeerSettings, PlatformSettings,
     RoutingSettings, SettingsFindings,
 };
 use crate::findings::{FindingList, TableReader};
 
-/// What a router is told about itself.
+/// The settings of a router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouterSettings {
-    /// Its host.
     pub host: HostName,
-    /// Its failure domain.
     pub domain: DomainName,
-    /// The region that the domain is in.
+    /// The region of the domain.
     pub region: String,
-    /// Where callers reach it.
+    /// The listen address for callers.
     pub call_address: SocketAddr,
-    /// Where its peers reach it.
+    /// The listen address for peers.
     pub peer_address: SocketAddr,
-    /// Where operators reach it.
+    /// The listen address for operators.
     pub admin_address: SocketAddr,
-    /// The platform.
     pub platform: PlatformSettings,
-    /// Peers.
     pub peers: PeerSettings,
-    /// Budgets.
     pub budgets: BudgetSettings,
-    /// Limits towards callers.
+    /// Limits for callers.
     pub limits: LimitSettings,
-    /// Targets.
+    /// The probing and selection of targets.
     pub routing: RoutingSettings,
-    /// Logs.
     pub log: LogSettings,
-    /// Metrics.
     pub metrics: MetricSettings,
 }
 
@@ -55,12 +48,12 @@
 }
 
 impl RouterSettings {
-    /// Reads a settings file, or reports all that is wrong with it.
+    /// Reads a settings file, or returns all of its findings.
     pub fn try_load(path: impl AsRef<Path>) -> Result<Self, SettingsFindings> {
         load_settings(path, read_settings)
     }
 
-    /// Reads settings from a text; `file` names it in the findings.
+    /// Reads settings from a text, which findings call `file`.
     pub fn try_parse(
         file: impl AsRef<str>,
         text: impl AsRef<str>,
@@ -71,10 +64,10 @@
 
 fn read_settings(reader: &TableReader<'_>, findings: &mut FindingList) -> Option<RouterSettings> {
     let router =
-        need_table(reader, "router", findings).and_then(|table| read_identity(&table, findings));
-    let platform = need_table(reader, "platform", findings)
+        require_table(reader, "router", findings).and_then(|table| read_identity(&table, findings));
+    let platform = require_table(reader, "platform", findings)
         .and_then(|table| PlatformSettings::read(&table, findings));
-    let peers = need_table(reader, "peers", findings)
+    let peers = require_table(reader, "peers", findings)
         .and_then(|table| PeerSettings::read(&table, findings));
     let budgets = reader
         .read_table("budgets", findings)
@@ -110,12 +103,12 @@
 }
 
 fn read_identity(reader: &TableReader<'_>, findings: &mut FindingList) -> Option<RouterIdentity> {
-    let host = reader.need_name("host", findings);
-    let domain = reader.need_name("domain", findings);
-    let region = reader.need_name("region", findings);
-    let call_address = reader.need_address("call_address", findings);
-    let peer_address = reader.need_address("peer_address", findings);
-    let admin_address = reader.need_address("admin_address", findings);
+    let host = reader.require_name("host", findings);
+    let domain = reader.require_name("domain", findings);
+    let region = reader.require_name("region", findings);
+    let call_address = reader.require_address("call_address", findings);
+    let peer_address = reader.require_address("peer_address", findings);
+    let admin_address = reader.require_address("admin_address", findings);
     reader.finish(findings);
     check_addresses(reader, findings);
     Some(RouterIdentity {
@@ -128,25 +121,25 @@
     })
 }
 
-/// Peers are told the peer address as it stands here, so it must be one that they can reach, and
-/// one port cannot serve two protocols.
+/// Checks that peers can reach the peer address, which is announced to them as written, and that no
+/// two protocols share an address.
 fn check_addresses(reader: &TableReader<'_>, findings: &mut FindingList) {
-    let mut quiet = FindingList::new();
+    let mut ignored = FindingList::new();
     let mut taken: BTreeMap<SocketAddr, &str> = BTreeMap::new();
     for key in ["call_address", "peer_address", "admin_address"] {
-        let Some(address) = reader.read_address(key, &mut quiet) else {
+        let Some(address) = reader.read_address(key, &mut ignored) else {
             continue;
         };
         if key == "peer_address" && (address.ip().is_unspecified() || address.port() == 0) {
-            let what = format!("is {address}; an address that peers can reach would be right");
-            reader.report(key, what, findings);
+            let message = format!("is {address}; an address that peers can reach would be right");
+            reader.report(key, message, findings);
         }
         if address.port() == 0 {
             continue;
         }
         if let Some(other) = taken.insert(address, key) {
-            let what = format!("is {address} as is `{other}`; an own port would be right");
-            reader.report(key, what, findings);
+            let message = format!("is {address} as is `{other}`; an own port would be right");
+            reader.report(key, message, findings);
         }
     }
 }
--- a/crates/beechsaddle/src/settings/routing_settings.rs
+++ b/crates/beechsaddle/src/settings/routing_settings.rs
@@ -2,24 +2,24 @@
 
 use crate::findings::{FindingList, TableReader};
 
-/// How targets are watched and chosen.
+/// The settings for probing and selecting targets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoutingSettings {
-    /// How often a router probes a target.
+    /// The interval at which a router probes a target.
     pub probe_ms: u64,
-    /// How long a probe may take.
+    /// The time limit of a probe.
     pub probe_timeout_ms: u64,
-    /// How long a connection to a target may take.
+    /// The time limit for connecting to a target.
     pub connect_timeout_ms: u64,
-    /// How many attempts a repeatable call gets, the first included.
+    /// The maximum number of attempts of a repeatable call, including the first.
     pub attempts: u64,
-    /// How many retries there may be for a hundred calls.
+    /// The maximum number of retries per hundred calls.
     pub retry_percent: u64,
     /// The smallest share of a service's targets that stays in use when others are ejected.
     pub floor_percent: u64,
-    /// How long an ejected target rests the first time.
+    /// The duration of a target's first ejection.
     pub eject_ms: u64,
-    /// How long a new target gets less than its share.
+    /// How long a new target gets less than its share of calls.
     pub slow_start_ms: u64,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl RoutingSettings {
-    /// Reads the table; absent keys keep their defaults.
+    /// Reads the table. Absent keys have their defaults.
     pub fn read(reader: &TableReader<'_>, findings: &mut FindingList) -> Self {
         let default = RoutingSettings::default();
         let settings = RoutingSettings {
--- a/crates/beechsaddle/src/settings/settings_file.rs
+++ b/crates/beechsaddle/src/settings/settings_file.rs
@@ -1,11 +1,12 @@
-//! The `settings_file` module provides what the settings files of all kinds of routers share.
+//! The `settings_file` module provides the reading of settings files, common to all kinds of
+//! routers.
 
 use std::path::Path;
 
 use super::SettingsFindings;
 use crate::findings::{FindingList, SourceText, TableReader};
 
-/// Reads settings from a file, or reports all that is wrong with it.
+/// Reads settings from a file, or returns all of its findings.
 pub(crate) fn load_settings<T>(
     path: impl AsRef<Path>,
     read: impl FnOnce(&TableReader<'_>, &mut FindingList) -> Option<T>,
@@ -21,7 +22,7 @@
     }
 }
 
-/// Reads settings from a text; `file` names it in the findings.
+/// Reads settings from a text, which findings call `file`.
 pub(crate) fn parse_settings<T>(
     file: impl AsRef<str>,
     text: impl AsRef<str>,
@@ -39,8 +40,8 @@
     }
 }
 
-/// A table that has to be there.
-pub(crate) fn need_table<'a>(
+/// Reads a required table.
+pub(crate) fn require_table<'a>(
     reader: &TableReader<'a>,
     key: &str,
     findings: &mut FindingList,
--- a/crates/beechsaddle/tests/catalogue_files.rs
+++ b/crates/beechsaddle/tests/catalogue_files.rs
@@ -1,4 +1,4 @@
-//! Reading and checking of the catalogue's files.
+//! Tests of reading and checking the catalogue's files.
 
 mod operator_common;
 
@@ -17,7 +17,7 @@
 
 fn findings(text: &str) -> Vec<String> {
     let texts = [("c.toml".to_string(), text.to_string())];
-    let findings = read_catalogue_texts(texts).expect_err("mistakes");
+    let findings = read_catalogue_texts(texts).expect_err("findings");
     findings.to_string().lines().map(str::to_string).collect()
 }
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn read_all_kinds_of_mistakes_reports_each_with_its_line() {
+fn read_all_kinds_of_errors_reports_each_with_its_line() {
     let text = r#"[[workspace]]
 name = "pekara"
 owner = "iva"
@@ -100,7 +100,8 @@
     assert!(!findings(text).join("\n").contains("in-the-clear"));
 }
 
-// Two workspaces with one key: a call with that key would spend the budget of whichever came last.
+// If two workspaces shared a key, a call with it would spend the budget of the one that was read
+// last.
 #[test]
 fn read_key_of_two_workspaces_is_found() {
     let digest = format!("sha256:{}", "0f".repeat(32));
@@ -119,7 +120,7 @@
     );
 }
 
-// A budget of another workspace among one's own: the workspace could spend what others paid.
+// A workspace that names another workspace's budget could spend tokens that the other paid for.
 #[test]
 fn read_foreign_budget_is_found() {
     let text = r#"[[workspace]]
@@ -138,9 +139,9 @@
     check_starts(text, &["c.toml:6: b names the budget main, which is a's"]);
 }
 
-// A workspace has further budgets besides its default, or none that is its default.
+// A workspace may have budgets besides its default, or no default.
 #[test]
-fn read_budgets_besides_the_default_are_right() {
+fn read_budgets_besides_the_default_are_valid() {
     let text = r#"[[workspace]]
 name = "a"
 owner = "iva"
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn read_unfit_default_budget_is_found() {
+fn read_invalid_default_budget_is_found() {
     let text = r#"[[workspace]]
 name = "a"
 owner = "iva"
@@ -207,7 +208,7 @@
     };
     base.store(&directory).expect("stored");
     assert_eq!(BaseFile::try_load(&directory), Ok(Some(base)));
-    // The base is no file of the catalogue.
+    // The base file is not a file of the catalogue.
     assert!(read_catalogue(&directory).is_err());
     std::fs::remove_dir_all(&directory).expect("removed");
 }
@@ -229,7 +230,7 @@
     }
 }
 
-/// Owner, class, limit, and whether it is repeatable and paid for.
+/// Owner, class, limit, and whether it is repeatable and has a top-up.
 type RandomItem = (u8, u8, Option<u32>, (bool, bool));
 
 fn catalogue_of(items: impl Iterator<Item = RandomItem>) -> DeclaredCatalogue {
@@ -268,7 +269,7 @@
 }
 
 quickcheck! {
-    // What `show` prints reads back as the same catalogue.
+    // The output of `show` parses to the same catalogue.
     fn render_then_read_is_the_same(items: Vec<RandomItem>) -> bool {
         let catalogue = catalogue_of(items.into_iter().take(200));
         declared(&render_catalogue(&catalogue)) == catalogue
--- a/crates/beechsaddle/tests/command_line.rs
+++ b/crates/beechsaddle/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line as a process, against a platform stand-in.
+//! Tests of the command line as a process, against a platform stand-in.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -8,7 +8,7 @@
 use beechsaddle_lab::stand_in::PlatformServer;
 use beechsaddle_lab::stand_in::platform::PlatformOptions;
 
-/// What a run of the binary gave.
+/// The result of running the binary.
 #[derive(Debug)]
 struct CommandResult {
     code: i32,
@@ -28,7 +28,7 @@
     }
 }
 
-/// A directory that goes away with the test.
+/// A temporary directory that is removed at the end of the test.
 struct TestDirectory(PathBuf);
 
 impl TestDirectory {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn check_five_mistakes_prints_all_five_with_lines() {
+fn check_five_errors_prints_all_five_with_lines() {
     let directory = TestDirectory::new("check");
     let file = directory.write(
         "router.toml",
@@ -90,18 +90,18 @@
     let result = run(&["check", &file]);
     assert_eq!(result.code, 3, "{result:?}");
     let lines: Vec<&str> = result.out.lines().collect();
-    let places = ["4: ", "5: ", "6: ", "10: ", "13: "];
-    assert_eq!(lines.len(), places.len(), "{lines:#?}");
-    for (line, place) in lines.iter().zip(places) {
-        assert!(line.starts_with(&format!("{file}:{place}")), "{line}");
+    let positions = ["4: ", "5: ", "6: ", "10: ", "13: "];
+    assert_eq!(lines.len(), positions.len(), "{lines:#?}");
+    for (line, position) in lines.iter().zip(positions) {
+        assert!(line.starts_with(&format!("{file}:{position}")), "{line}");
     }
-    // The same check guards the router.
+    // The router runs the same check before it starts.
     let result = run(&["router", "--config", &file]);
     assert_eq!((result.code, result.err.lines().count()), (3, 5));
 }
 
 #[test]
-fn check_examples_are_right() {
+fn check_examples_are_valid() {
     for region in ["jadran", "stmk"] {
         let files = std::fs::read_dir(examples().join("settings").join(region)).expect("examples");
         let files: Vec<String> = files
@@ -135,8 +135,8 @@
     assert_eq!(run(&["catalogue", "apply", "somewhere"]).code, 2);
 }
 
-// Two operators with a directory each: one applies, the other edits the same workspace on the same
-// base and is shown the conflict; after taking the other's files it goes through.
+// Two operators with separate directories edit the same workspace on the same base. The second gets
+// a conflict, and succeeds after taking over the first one's files.
 #[test]
 fn catalogue_apply_two_operators_end_in_one_conflict() {
     let platform = PlatformServer::try_start(PlatformOptions::default()).expect("platform");
@@ -158,7 +158,7 @@
     let first = apply(&ana, "ana");
     assert_eq!(first.code, 0, "{first:?}");
     assert!(first.out.contains("as revision 1"), "{first:?}");
-    // Files without a base could remove what others declared.
+    // Files without a base are refused, since they could remove entries of others.
     copy_example("catalogue-jadran", &mato);
     assert_eq!(apply(&mato, "mato").code, 3);
     let base = std::fs::read_to_string(ana.0.join(".beechsaddle-base")).expect("base");
@@ -180,8 +180,8 @@
                 your edit is based on revision 1";
     assert!(second.err.contains(line), "{second:?}");
 
-    let theirs = std::fs::read_to_string(ana.0.join("workspaces.toml")).expect("file");
-    mato.write("workspaces.toml", &theirs);
+    let other_text = std::fs::read_to_string(ana.0.join("workspaces.toml")).expect("file");
+    mato.write("workspaces.toml", &other_text);
     let merged = apply(&mato, "mato");
     assert!(
         merged.out.contains("nothing to do at revision 2"),
@@ -227,8 +227,8 @@
     );
 }
 
-// The platform's list names a router that is gone. The apply is committed; --wait tells where it is
-// in force and names the router that it could not reach.
+// The host list contains a router that is not running. The apply is committed, and `--wait` reports
+// where it is in effect and which router it could not reach.
 #[test]
 fn catalogue_apply_wait_names_unreached_router() {
     let platform = PlatformServer::try_start(PlatformOptions::default()).expect("platform");
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn catalogue_apply_platform_away_fails_without_change() {
+fn catalogue_apply_platform_unreachable_fails_without_change() {
     let directory = TestDirectory::new("away");
     copy_example("catalogue-stmk", &directory);
     let result = run(&[
--- a/crates/beechsaddle/tests/command_line_fleet.rs
+++ b/crates/beechsaddle/tests/command_line_fleet.rs
@@ -1,4 +1,4 @@
-//! The command line against running routers.
+//! Tests of the command line against running routers.
 
 use std::net::TcpListener;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_beechsaddle");
 
-/// A router process that ends with the test.
+/// A router process that is killed at the end of the test.
 struct RouterProcess {
     child: Child,
     admin: String,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Ports that were free a moment ago; all are held at once, so that they differ.
+/// Returns distinct ports that were free when checked: all are bound at the same time.
 fn free_ports(count: usize) -> Vec<u16> {
     let bind = |_| TcpListener::bind("127.0.0.1:0").expect("a port");
     let listeners: Vec<TcpListener> = (0..count).map(bind).collect();
@@ -89,11 +89,11 @@
     std::fs::read_to_string(path.join(name)).expect("example")
 }
 
-// Three routers run; an operator applies a catalogue, then a change, and waits until it is in force
-// everywhere. Then one router is killed: the next wait names it, and the change is in force at the
-// other two, whichever of the three watched the platform.
+// An operator applies a catalogue and a change to a fleet of three routers, and waits until it is
+// in effect everywhere. After one router is killed, the next wait names it, and the change is in
+// effect at the other two, regardless of which routers watch the platform.
 #[test]
-fn apply_wait_tells_where_a_change_is_in_force() {
+fn apply_wait_reports_where_a_change_is_effective() {
     let platform = PlatformServer::try_start(PlatformOptions::default()).expect("platform");
     let address = platform.address().to_string();
     let directory = std::env::temp_dir().join(format!("beechsaddle-fleet-{}", std::process::id()));
@@ -117,9 +117,9 @@
         let args = ["catalogue", "apply", path, "--platform", &address, "--wait"];
         let mut args = args.to_vec();
         args.extend(["--wait-seconds", seconds]);
-        let begun = Instant::now();
+        let started = Instant::now();
         let (code, text) = run(&args);
-        (code, text, begun.elapsed())
+        (code, text, started.elapsed())
     };
     let (code, text, _) = apply("20");
     assert_eq!(code, 0, "{text}");
--- a/crates/beechsaddle/tests/explain.rs
+++ b/crates/beechsaddle/tests/explain.rs
@@ -1,14 +1,14 @@
-//! Tests of what is told from logs, against a running router and against lines that are no log.
+//! Tests of the analysis of logs, with those of a running router and with lines in other formats.
 
 mod gateway_support;
 
 use beechsaddle::explain::{
-    LogBook, LogEntry, LossReport, StoreSums, TokenAccount, TokenLoss, tell_call,
+    LogEntry, LogIndex, LossReport, StoreSums, TokenAccount, TokenLoss, explain_call,
 };
 use beechsaddle_platform_stand_in::TargetFault;
 use gateway_support::{GatewayBench, draft, request};
 
-/// A line as a collector passes it on, with a prefix, quoted values and a value with spaces.
+/// A line with a collector's prefix, quoted values and a value with spaces is parsed.
 #[test]
 fn log_entry_read_back() {
     let line = "  12.5 host-1 ts=1770000000123 level=info router=host-1@7 event=call id=a why=\"it \\\"broke\\\" off\" total_ms=4\n";
@@ -21,11 +21,11 @@
     assert_eq!(entry.field("total_ms"), Some("4"));
 }
 
-/// Logs hold lines of others, half lines of processes that died, and bytes. They are counted and never
-/// fatal, and the lines beside them are read.
+/// Logs contain foreign lines, truncated lines of processes that died, and binary data. Such lines
+/// are counted, and the lines around them are still parsed.
 #[test]
 fn unreadable_lines_are_counted() {
-    let mut book = LogBook::default();
+    let mut index = LogIndex::default();
     for line in [
         "",
         "panicked at",
@@ -33,16 +33,16 @@
         "ts=5 level=info router=a@1 event=call outcome=no_target",
         "ts=6 level=info rou",
     ] {
-        book.add_line(line);
+        index.add_line(line);
     }
-    assert_eq!((book.entries().len(), book.unreadable()), (1, 3));
-    assert!(tell_call(&book, "x").is_none());
+    assert_eq!((index.entries().len(), index.unreadable()), (1, 3));
+    assert!(explain_call(&index, "x").is_none());
 }
 
-/// Guards against a refusal that does not tell which crashes it goes back to.
+/// Guards against a refusal whose explanation lacks the crashes that caused it.
 #[test]
-fn tell_call_refused_for_crashes_names_them() {
-    let mut book = LogBook::default();
+fn explain_call_refused_for_crashes_includes_them() {
+    let mut index = LogIndex::default();
     for line in [
         "ts=90000 level=info router=a@1 event=call_admitted id=one fingerprint=f1",
         "ts=90000 level=info router=a@1 event=call_blocked id=one fingerprint=f1 targets=\"t1,t2,t3\"",
@@ -51,11 +51,11 @@
         "ts=20002 level=warning router=a@1 event=request_blocked fingerprint=f1 targets=\"t1,t2,t3\"",
         "ts=95000 level=warning router=a@1 event=request_cleared fingerprint=f1",
     ] {
-        book.add_line(line);
+        index.add_line(line);
     }
-    book.sort();
-    let told = tell_call(&book, "one").expect("a story");
-    let events: Vec<_> = told
+    index.sort();
+    let output = explain_call(&index, "one").expect("an explanation");
+    let events: Vec<_> = output
         .iter()
         .filter_map(|line| line.split("  ").last()?.trim().split(' ').next())
         .collect();
@@ -70,12 +70,12 @@
     );
 }
 
-/// Two routers' logs in no order: a call that was sent to a target which its router ejected a moment
-/// before. The story has the ejection and the call's own lines in the order of time, and no line of the
-/// other router or of other calls.
+/// The unsorted logs of two routers contain a call placed on a target that its router ejected
+/// shortly before. The explanation has the ejection and the call's own lines, ordered by time, and
+/// no lines of the other router or of other calls.
 #[test]
-fn tell_call_with_what_decided() {
-    let mut book = LogBook::default();
+fn explain_call_includes_related_events() {
+    let mut index = LogIndex::default();
     for line in [
         "ts=9000 level=info router=a@1 event=call id=one workspace=w target=t1 total_ms=30 outcome=answered",
         "ts=8975 level=info router=a@1 event=call_placed id=one target=t1 cost=4",
@@ -87,10 +87,10 @@
         "ts=8500 level=info router=a@1 event=tokens_lent workspace=v tokens=5",
         "ts=8990 level=info router=a@1 event=call id=two target=t1",
     ] {
-        book.add_line(line);
+        index.add_line(line);
     }
-    book.sort();
-    let lines = tell_call(&book, "one").expect("a story");
+    index.sort();
+    let lines = explain_call(&index, "one").expect("an explanation");
     let starts: Vec<_> = lines
         .iter()
         .map(|line| line.split_whitespace().collect::<Vec<_>>().join(" "))
@@ -102,11 +102,12 @@
     assert!(starts[4].starts_with("* 30 ms a call id=one"));
 }
 
-/// Callers are refused for want of tokens. A keeper that took 900 lent 300 and was killed with one call open;
-/// the borrower spent 250 and lives. 600 of 900 tokens are gone with one process: the sum has to say so.
+/// Callers are refused for lack of tokens. An allocator that drew 900 lent 300 and was killed with
+/// one call open. The borrower spent 250 and keeps running. 600 of the 900 tokens are lost with one
+/// process, and the account must show it.
 #[test]
-fn token_account_tells_lost_from_spent() {
-    let mut book = LogBook::default();
+fn token_account_distinguishes_lost_from_spent() {
+    let mut index = LogIndex::default();
     for line in [
         "ts=1000 level=info router=a@1 event=ledger_written workspace=w transfer=take tokens=1000 taken=1000",
         "ts=1100 level=info router=a@1 event=ledger_written workspace=w transfer=give_back tokens=100 taken=900",
@@ -119,14 +120,14 @@
         "ts=3000 level=info router=a@2 event=started",
         "ts=3100 level=info router=a@2 event=ledger_written workspace=w transfer=take tokens=0 recovered=150",
     ] {
-        book.add_line(line);
+        index.add_line(line);
     }
-    let account = TokenAccount::of(&book);
+    let account = TokenAccount::of(&index);
     let loss = TokenLoss {
         at_ms: 3_000,
         routers: 1,
         free: 400,
-        promised: 200,
+        reserved: 200,
     };
     assert_eq!(
         (account.taken, account.given_back, account.spent),
@@ -137,7 +138,7 @@
 
 #[test]
 fn losses_by_cause_and_second() {
-    let mut book = LogBook::default();
+    let mut index = LogIndex::default();
     for line in [
         "ts=1000 level=info router=a@1 event=call id=1 workspace=w outcome=answered",
         "ts=1500 level=info router=a@1 event=call id=2 workspace=w target=t1 late=pause outcome=answered",
@@ -145,21 +146,21 @@
         "ts=2600 level=info router=b@1 event=call_repeated id=4 after=unsent sent=0",
         "ts=2700 level=info router=b@1 event=call id=4 workspace=v target=t2 outcome=outcome_unknown",
     ] {
-        book.add_line(line);
+        index.add_line(line);
     }
-    let report = LossReport::of(&book);
+    let report = LossReport::of(&index);
     let first = report.seconds()[&1];
     let second = report.seconds()[&2];
     assert_eq!((first.calls, first.lost, first.late), (2, 0, 1));
     assert_eq!((second.calls, second.lost, second.late), (2, 2, 0));
     let text = report.to_string();
-    for words in ["calls 4", "late by pause", "budget_exhausted", "unsent"] {
-        assert!(text.contains(words), "no {words} in {text}");
+    for expected in ["calls 4", "late by pause", "budget_exhausted", "unsent"] {
+        assert!(text.contains(expected), "no {expected} in {text}");
     }
 }
 
-/// An operator has the id of a call that failed at its target, and the router's log. The command shows
-/// the way from its arrival to its end, the sums and a plot; a missing log is a clear error.
+/// The command explains a failed call by its id and the router's log: all steps from arrival to
+/// end, the sums and a plot. A missing log gives a clear error.
 #[tokio::test]
 async fn command_explains_a_failed_call() {
     let bench = GatewayBench::start(&draft(1, 1_000_000)).await;
@@ -173,10 +174,10 @@
     assert!(reply.status >= 500);
     bench.router.wait_log(&["event=call ", "id=order-1"]).await;
     let log = bench.router.log_path();
-    let run = |words: &[&str]| {
+    let run = |arguments: &[&str]| {
         let command = std::process::Command::new(env!("CARGO_BIN_EXE_beechsaddle"))
             .arg("explain")
-            .args(words)
+            .args(arguments)
             .output()
             .expect("the binary runs");
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
@@ -186,14 +187,17 @@
             text(&command.stderr),
         )
     };
-    let (code, told, _) = run(&["order-1", &log]);
+    let (code, output, _) = run(&["order-1", &log]);
     assert_eq!(code, Some(0));
-    let places =
-        ["call_admitted", "call_placed", "attempt_ended", "outcome="].map(|word| told.find(word));
-    assert!(places.is_sorted() && places[0].is_some(), "{told}");
+    let positions =
+        ["call_admitted", "call_placed", "attempt_ended", "outcome="].map(|word| output.find(word));
+    assert!(positions.is_sorted() && positions[0].is_some(), "{output}");
     let plot = format!("{log}.svg");
-    let (code, told, _) = run(&["--losses", "--plot", &plot, &log]);
-    assert!(code == Some(0) && told.contains("target_failed"), "{told}");
+    let (code, output, _) = run(&["--losses", "--plot", &plot, &log]);
+    assert!(
+        code == Some(0) && output.contains("target_failed"),
+        "{output}"
+    );
     assert!(
         std::fs::read_to_string(&plot)
             .expect("a plot")
@@ -206,19 +210,19 @@
     );
 }
 
-/// Calls to the store are a large part of what a fleet costs. The routers' sums are added up by purpose and by time,
-/// and one that cannot be read is told and hides no other.
+/// Calls to the store are a large part of a fleet's cost. The routers' sums are added by purpose
+/// and by time, and a sum that cannot be parsed is counted without hiding others.
 #[test]
 fn store_sums_by_purpose_and_time() {
-    let mut book = LogBook::default();
+    let mut index = LogIndex::default();
     for line in [
         "ts=11000 level=info router=a@1 event=store_calls calls=\"watch_config/done:2 write_ledger/conflict:3\"",
         "ts=16000 level=info router=a@1 event=store_calls calls=\"write_ledger/conflict:1 odd write_ledger/done:x\"",
         "ts=12000 level=info router=b@1 event=store_calls calls=watch_config/done:5",
     ] {
-        book.add_line(line);
+        index.add_line(line);
     }
-    let sums = StoreSums::of(&book);
+    let sums = StoreSums::of(&index);
     let purposes: Vec<_> = sums.purposes.into_iter().collect();
     let expected = [("watch_config/done", 7), ("write_ledger/conflict", 4)];
     assert_eq!(
@@ -232,11 +236,11 @@
     assert_eq!(sums.unreadable, 2);
 }
 
-/// A borrower hands tokens to its keeper, and the keeper dies with them: they are counted there, and not at the
-/// borrower as well.
+/// A borrower returns tokens to its allocator, which dies with them. They count as lost at the
+/// allocator only.
 #[test]
 fn token_account_follows_returns() {
-    let mut book = LogBook::default();
+    let mut index = LogIndex::default();
     for line in [
         "ts=1000 level=info router=a@1 event=tokens_borrowed workspace=w tokens=700",
         "ts=2000 level=info router=a@1 event=tokens_returned workspace=w outcome=returned tokens=500",
@@ -245,9 +249,9 @@
         "ts=9000 level=info router=a@9 event=started",
         "ts=9500 level=info router=k@9 event=started",
     ] {
-        book.add_line(line);
+        index.add_line(line);
     }
-    let account = TokenAccount::of(&book);
+    let account = TokenAccount::of(&index);
     let free: Vec<_> = account.losses.iter().map(|loss| loss.free).collect();
     assert_eq!(free, [700]);
 }
--- a/crates/beechsaddle/tests/operator_apply.rs
+++ b/crates/beechsaddle/tests/operator_apply.rs
@@ -1,4 +1,4 @@
-//! Applying of operators' files: races, lost answers, withdrawals.
+//! Tests of applying operators' files: concurrent edits, lost responses, withdrawals.
 
 mod operator_common;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn apply_empty_fleet_commits_and_books() {
+fn apply_empty_fleet_commits_and_writes_ledger() {
     block_on(async {
         let store = MemoryStore::default();
         let files = declared(&small("iva", ONE));
@@ -41,9 +41,9 @@
     });
 }
 
-// Two operators edit other entries from the same base. The second to arrive finds the next revision
-// taken, plans anew and is applied on top; neither edit is lost. Its files lack the other's edit,
-// so that their base must not move on: else the next apply would take the other's edit back.
+// Two operators edit different entries on the same base. The second finds the next revision taken
+// and is applied on top of it, so that neither edit is lost. Its files lack the other edit, so its
+// base must not advance: otherwise its next apply would revert the other edit.
 #[test]
 fn apply_race_other_entries_rebases() {
     block_on(async {
@@ -52,23 +52,23 @@
         apply(&store, "iva", &first, &base(0))
             .await
             .expect("applied");
-        let mine = declared(&small("iva", TWO));
-        let theirs = declared(&rename_model_owner(&small("iva", ONE), "mato"));
-        apply(&store, "mato", &theirs, &base(1))
+        let own_files = declared(&small("iva", TWO));
+        let other_files = declared(&rename_model_owner(&small("iva", ONE), "mato"));
+        apply(&store, "mato", &other_files, &base(1))
             .await
             .expect("applied");
-        let outcome = apply(&store, "iva", &mine, &base(1))
+        let outcome = apply(&store, "iva", &own_files, &base(1))
             .await
             .expect("rebased");
         assert_eq!((outcome.revision, outcome.edits), (3, 1));
         assert_eq!(outcome.missing.len(), 1);
         assert_eq!(outcome.base.revision, 1);
-        // The same files once more undo nothing.
-        let again = apply(&store, "iva", &mine, &outcome.base)
+        // Applying the same files again reverts nothing.
+        let again = apply(&store, "iva", &own_files, &outcome.base)
             .await
             .expect("applied");
         assert_eq!((again.revision, again.edits), (3, 0));
-        // With the other's edit taken in the files are in step.
+        // Once the files contain the other edit, they are in sync.
         let merged = declared(&rename_model_owner(&small("iva", TWO), "mato"));
         let last = apply(&store, "iva", &merged, &again.base)
             .await
@@ -77,8 +77,8 @@
     });
 }
 
-// An operator's files lack what another applied, so that their base stays. A second edit of what
-// they applied themselves is no conflict with their own first one.
+// Files that lack another operator's change keep their base. A second edit of the items that they
+// applied themselves must not conflict with their own first edit.
 #[test]
 fn apply_second_own_edit_on_old_base_is_no_conflict() {
     block_on(async {
@@ -87,40 +87,40 @@
         apply(&store, "iva", &first, &base(0))
             .await
             .expect("applied");
-        let theirs = declared(&rename_model_owner(&small("iva", ONE), "mato"));
-        apply(&store, "mato", &theirs, &base(1))
+        let other_files = declared(&rename_model_owner(&small("iva", ONE), "mato"));
+        apply(&store, "mato", &other_files, &base(1))
             .await
             .expect("applied");
-        let mine = declared(&small("iva", TWO));
-        let rebased = apply(&store, "iva", &mine, &base(1))
+        let own_files = declared(&small("iva", TWO));
+        let rebased = apply(&store, "iva", &own_files, &base(1))
             .await
             .expect("rebased");
         assert_eq!(rebased.base.applied, [3].into_iter().collect());
-        let mine = declared(&small("iva", ONE));
-        let again = apply(&store, "iva", &mine, &rebased.base)
+        let own_files = declared(&small("iva", ONE));
+        let again = apply(&store, "iva", &own_files, &rebased.base)
             .await
             .expect("applied");
         assert_eq!((again.revision, again.edits), (4, 1));
     });
 }
 
-// Two operators edit the same workspace from the same base. The second is told the entry, its
-// owner, who was first and in which revision; nothing of its edit is applied, also not the parts
-// that nobody else touched.
+// Two operators edit the same workspace on the same base. The second gets the entry, its owner, and
+// the author and revision of the first edit. Nothing of its edit is applied, including the entries
+// that have no conflict.
 #[test]
-fn apply_race_same_entry_names_the_other() {
+fn apply_race_same_entry_reports_conflict() {
     block_on(async {
         let store = MemoryStore::default();
         let first = declared(&small("iva", ONE));
         apply(&store, "iva", &first, &base(0))
             .await
             .expect("applied");
-        let theirs = declared(&small("mato", ONE));
-        apply(&store, "mato", &theirs, &base(1))
+        let other_files = declared(&small("mato", ONE));
+        apply(&store, "mato", &other_files, &base(1))
             .await
             .expect("applied");
-        let mine = declared(&rename_model_owner(&small("eva", ONE), "eva"));
-        let error = apply(&store, "eva", &mine, &base(1))
+        let own_files = declared(&rename_model_owner(&small("eva", ONE), "eva"));
+        let error = apply(&store, "eva", &own_files, &base(1))
             .await
             .expect_err("conflict");
         let OperatorError::Conflicts(conflicts) = &error else {
@@ -136,10 +136,10 @@
     });
 }
 
-// A revert by another operator brings an entry back to what it was at the base. The files that
-// made the reverted edit must not make it again without being asked: values alone do not show it.
+// Another operator's revert restores an entry to its value at the base. The files that made the
+// reverted edit must not repeat it unasked, which a comparison of values alone would do.
 #[test]
-fn apply_after_revert_by_other_leaves_the_revert() {
+fn apply_after_revert_by_other_preserves_the_revert() {
     block_on(async {
         let store = MemoryStore::default();
         let first = declared(&small("iva", ONE));
@@ -150,15 +150,15 @@
         apply(&store, "mato", &other, &base(1))
             .await
             .expect("applied");
-        let mine = declared(&small("iva", TWO));
-        let rebased = apply(&store, "iva", &mine, &base(1))
+        let own_files = declared(&small("iva", TWO));
+        let rebased = apply(&store, "iva", &own_files, &base(1))
             .await
             .expect("rebased");
         let reverted = declared(&rename_model_owner(&small("iva", ONE), "mato"));
         apply(&store, "mato", &reverted, &base(3))
             .await
             .expect("reverted");
-        let outcome = apply(&store, "iva", &mine, &rebased.base)
+        let outcome = apply(&store, "iva", &own_files, &rebased.base)
             .await
             .expect("left");
         let budget = ItemId::Budget(BudgetName::new("pekara-main"));
@@ -169,26 +169,32 @@
             .find(|missing| missing.item == budget);
         let missing = missing.expect("the reverted budget");
         assert_eq!((missing.author.as_str(), missing.revision), ("mato", 4));
-        // A further edit of the same budget is one that the other does not know of.
-        let mine = declared(&small("eva", TWO));
-        let error = apply(&store, "iva", &mine, &outcome.base)
+        // A further edit of the same budget conflicts, since it was made without knowledge of the
+        // revert.
+        let own_files = declared(&small("eva", TWO));
+        let error = apply(&store, "iva", &own_files, &outcome.base)
             .await
             .expect_err("conflict");
         assert!(error.to_string().contains("budget pekara-main"), "{error}");
     });
 }
 
-// Another edit takes the next revision between this one's reading and its commit.
+// Another edit takes the next revision between the read and the commit of this one.
 #[test]
-fn commit_taken_revision_plans_anew() {
+fn commit_taken_revision_plans_again() {
     block_on(async {
         let store = MemoryStore::default();
         let first = declared(&small("iva", ONE));
         apply(&store, "iva", &first, &base(0))
             .await
             .expect("applied");
-        let theirs = declared(&rename_model_owner(&small("iva", ONE), "mato"));
-        let entry = theirs.entries.values().next_back().expect("model").clone();
+        let other_files = declared(&rename_model_owner(&small("iva", ONE), "mato"));
+        let entry = other_files
+            .entries
+            .values()
+            .next_back()
+            .expect("model")
+            .clone();
         let change = CatalogueChange {
             revision: 2,
             write_id: "other".to_string(),
@@ -196,25 +202,25 @@
             applied: ClockTime::ZERO,
             edits: vec![EntryEdit::Put(entry)],
         };
-        store.race(change_key(2).as_str(), PlatformObject::Change(change));
-        let mine = declared(&small("iva", TWO));
-        let outcome = apply(&store, "iva", &mine, &base(1))
+        store.insert_before_write(change_key(2).as_str(), PlatformObject::Change(change));
+        let own_files = declared(&small("iva", TWO));
+        let outcome = apply(&store, "iva", &own_files, &base(1))
             .await
             .expect("applied");
         assert_eq!(outcome.revision, 3);
     });
 }
 
-// The commit takes effect, its answer is lost and the platform is away at once. The operator is
-// told that the outcome is unknown; the same files later find their own change, even though others
-// came after it, and make no second one.
+// The commit takes effect, its response is lost, and the platform is unreachable afterwards. The
+// operator gets an unknown outcome. A repeat with the same files finds their own change, even after
+// other changes, and commits no second one.
 #[test]
-fn apply_lost_answer_repeat_tells_the_truth() {
+fn apply_lost_answer_repeat_finds_committed_change() {
     block_on(async {
         let store = MemoryStore::default();
         let files = declared(&small("iva", ONE));
         store.fault("catalogue/change/", WriteFault::AnswerLost);
-        store.die_after_fault();
+        store.fail_after_fault();
         let error = apply(&store, "iva", &files, &base(0))
             .await
             .expect_err("unknown");
@@ -222,12 +228,14 @@
             matches!(error, OperatorError::OutcomeUnknown { revision: 1 }),
             "{error}"
         );
-        store.heal();
+        store.recover();
         let other = declared(&rename_model_owner(&small("iva", ONE), "mato"));
         apply(&store, "mato", &other, &base(1))
             .await
             .expect("applied");
-        let outcome = apply(&store, "iva", &files, &base(0)).await.expect("told");
+        let outcome = apply(&store, "iva", &files, &base(0))
+            .await
+            .expect("applied");
         assert_eq!(
             (outcome.earlier, outcome.edits, outcome.revision),
             (Some(1), 0, 2)
@@ -255,9 +263,9 @@
     });
 }
 
-// A router holds 700 tokens of 1,000 and 100 are billed. Taking 500 out would let the router spend
-// tokens that were paid back: the edit is refused with what is free, and nothing is changed. What is
-// free can be taken out, once, also when the answer of that write is lost.
+// A router holds 700 tokens of 1,000 and 100 are billed. Withdrawing 500 would let the router spend
+// refunded tokens, so the edit is refused with the number of free tokens, and nothing is changed.
+// Free tokens can be withdrawn exactly once, even if the response to that write is lost.
 #[test]
 fn apply_withdrawal_beyond_free_is_refused() {
     block_on(async {
@@ -285,7 +293,7 @@
         let refusal = LedgerRefusal::NotFree {
             budget: BudgetName::new("pekara-main"),
             owner: OwnerName::new("iva"),
-            wanted: 500,
+            requested: 500,
             free: 200,
         };
         assert_eq!(refusals, &[refusal]);
@@ -306,9 +314,9 @@
     });
 }
 
-// A workspace with its budget is removed while a router still holds a grant: refused, for the router
-// may spend it. Once the grant is back what is free is withdrawn, and what was spent stays on record
-// without looking like a difference to the files for ever.
+// A workspace and its budget are removed while a router holds a grant: the removal is refused,
+// since the router may spend the grant. Once the grant is returned, the free tokens are withdrawn.
+// The record of spent tokens remains and must not show as a permanent difference to the files.
 #[test]
 fn apply_removed_budget_in_use_is_refused_until_idle() {
     block_on(async {
@@ -356,10 +364,11 @@
     });
 }
 
-// A spent budget is taken out of the files while its workspace stays. Were it shown as declared, the
-// next shift would get it back with its next pull; one that is only spent must not vanish.
+// A spent budget is removed from the files while its workspace remains. If it were still shown as
+// declared, the next pull would bring it back. A budget that is spent but declared must stay
+// visible.
 #[test]
-fn apply_removed_budget_of_a_workspace_that_stays_is_not_shown() {
+fn apply_removed_budget_of_remaining_workspace_is_not_shown() {
     block_on(async {
         let store = MemoryStore::default();
         let text = small("iva", ONE);
@@ -411,15 +420,16 @@
     });
 }
 
-// The platform goes away between the commit and the writing of the ledger. The operator learns that
-// the change is committed and the budgets are not; the same files finish the work.
+// The platform becomes unreachable between the commit and the write of the ledger. The operator
+// gets an error that says that the change is committed and the budgets are not, and a repeat with
+// the same files completes it.
 #[test]
-fn apply_platform_away_before_ledger_is_finished_by_repeat() {
+fn apply_platform_unreachable_before_ledger_is_completed_by_repeat() {
     block_on(async {
         let store = MemoryStore::default();
         let files = declared(&small("iva", ONE));
         store.fault("ledger/", WriteFault::RequestLost);
-        store.die_after_fault();
+        store.fail_after_fault();
         let error = apply(&store, "iva", &files, &base(0))
             .await
             .expect_err("behind");
@@ -427,7 +437,7 @@
             matches!(error, OperatorError::LedgerBehind { revision: 1, .. }),
             "{error}"
         );
-        store.heal();
+        store.recover();
         let outcome = apply(&store, "iva", &files, &base(0))
             .await
             .expect("finished");
@@ -437,8 +447,8 @@
     });
 }
 
-// A directory that was never in step with the fleet declares other entries than the fleet has. Were
-// a missing base taken for the newest, the first apply would remove all that others declared.
+// Files whose base is newer than the fleet's catalogue belong to another fleet. An apply would
+// remove all entries that other operators declared.
 #[test]
 fn apply_other_fleets_base_is_refused() {
     block_on(async {
@@ -474,7 +484,8 @@
             panic!("no head");
         };
         assert_eq!((head.revision, head.parts), (64, 1));
-        // Reading from the base gives what the changes gave, and an older base is reached too.
+        // Reading from the written base gives the same catalogue as reading all changes, and
+        // revisions older than that base remain readable.
         let files = declared(&rename_model_owner(&small("iva", ONE), "o65"));
         assert_eq!(
             apply(&store, "iva", &files, &base(65))
--- a/crates/beechsaddle/tests/operator_common/mod.rs
+++ b/crates/beechsaddle/tests/operator_common/mod.rs
@@ -1,4 +1,4 @@
-//! A platform in memory and catalogues in text, for the tests of operators' commands.
+//! An in-memory platform and example catalogues for the tests of operators' commands.
 #![allow(dead_code)]
 
 use std::cell::RefCell;
@@ -13,12 +13,12 @@
 use beechsaddle_core::objects::{FleetLayout, PlatformObject};
 use beechsaddle_core::platform::{PlatformCall, PlatformReply, StoredObject, WriteGuard};
 
-/// What goes wrong with a write.
+/// A fault of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFault {
-    /// It takes effect, and its answer is lost.
+    /// The write takes effect, and its response is lost.
     AnswerLost,
-    /// It does not take effect, and its answer is lost.
+    /// The write does not take effect, and its response is lost.
     RequestLost,
 }
 
@@ -26,16 +26,16 @@
 struct StoreState {
     revision: u64,
     objects: BTreeMap<ObjectKey, (u64, PlatformObject)>,
-    /// Faults of the next writes to keys that begin with the text.
+    /// Faults of the next writes to keys with the given prefix.
     faults: VecDeque<(String, WriteFault)>,
-    /// What another operator writes right before the next write to the same key.
-    races: VecDeque<(ObjectKey, PlatformObject)>,
-    /// Whether no call is answered from the next lost answer on.
-    dies: bool,
-    dead: bool,
+    /// Objects that another operator writes directly before the next write to the same key.
+    concurrent_writes: VecDeque<(ObjectKey, PlatformObject)>,
+    /// Whether the platform becomes unreachable with the next fault.
+    fails_after_fault: bool,
+    is_unreachable: bool,
 }
 
-/// A platform in memory.
+/// An in-memory platform.
 #[derive(Debug, Default)]
 pub struct MemoryStore {
     state: RefCell<StoreState>,
@@ -47,21 +47,23 @@
         state.faults.push_back((prefix.to_string(), fault));
     }
 
-    /// Right before the next write to `key` somebody else creates it.
-    pub fn race(&self, key: &str, object: PlatformObject) {
+    /// Makes another operator create `key` directly before the next write to it.
+    pub fn insert_before_write(&self, key: &str, object: PlatformObject) {
         let mut state = self.state.borrow_mut();
-        state.races.push_back((ObjectKey::new(key), object));
+        state
+            .concurrent_writes
+            .push_back((ObjectKey::new(key), object));
     }
 
-    /// After the next lost answer the platform is away.
-    pub fn die_after_fault(&self) {
-        self.state.borrow_mut().dies = true;
+    /// Makes the platform unreachable after the next fault.
+    pub fn fail_after_fault(&self) {
+        self.state.borrow_mut().fails_after_fault = true;
     }
 
-    pub fn heal(&self) {
+    pub fn recover(&self) {
         let mut state = self.state.borrow_mut();
-        state.dead = false;
-        state.dies = false;
+        state.is_unreachable = false;
+        state.fails_after_fault = false;
     }
 
     pub fn get(&self, key: &str) -> Option<PlatformObject> {
@@ -112,21 +114,24 @@
 
     fn write(&self, key: &ObjectKey, object: &PlatformObject, guard: WriteGuard) -> PlatformReply {
         let mut state = self.state.borrow_mut();
-        let raced = state.races.front().is_some_and(|(raced, _)| raced == key);
-        if raced && let Some((raced, other)) = state.races.pop_front() {
+        let is_raced = state
+            .concurrent_writes
+            .front()
+            .is_some_and(|(raced_key, _)| raced_key == key);
+        if is_raced && let Some((raced_key, other)) = state.concurrent_writes.pop_front() {
             state.revision += 1;
             let version = state.revision;
-            state.objects.insert(raced, (version, other));
+            state.objects.insert(raced_key, (version, other));
         }
-        let faulty = state
+        let is_faulty = state
             .faults
             .front()
             .is_some_and(|(prefix, _)| key.as_str().starts_with(prefix));
-        let fault = match faulty {
+        let fault = match is_faulty {
             true => state.faults.pop_front().map(|(_, fault)| fault),
             false => None,
         };
-        state.dead |= fault.is_some() && state.dies;
+        state.is_unreachable |= fault.is_some() && state.fails_after_fault;
         if fault == Some(WriteFault::RequestLost) {
             return PlatformReply::Unknown;
         }
@@ -168,7 +173,7 @@
 
 impl ObjectStore for MemoryStore {
     async fn call(&self, call: &PlatformCall) -> PlatformReply {
-        if self.state.borrow().dead {
+        if self.state.borrow().is_unreachable {
             return PlatformReply::Unreachable;
         }
         match call {
@@ -180,7 +185,7 @@
     }
 }
 
-/// Runs to the end on a clock that needs no waiting.
+/// Runs a future to completion on a paused clock, without real waiting.
 pub fn block_on<T>(future: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -222,7 +227,7 @@
     run.run().await
 }
 
-/// A small catalogue; the texts replace the owner of the workspace and its top-ups.
+/// Returns a small catalogue with the given owner and top-ups of its workspace.
 pub fn small(owner: &str, top_ups: &str) -> String {
     format!(
         r#"
--- a/crates/beechsaddle/tests/operator_random.rs
+++ b/crates/beechsaddle/tests/operator_random.rs
@@ -1,4 +1,4 @@
-//! Two operators who edit and apply in any order, while answers get lost.
+//! Random edits and applies of two operators with lost responses.
 
 mod operator_common;
 
@@ -16,35 +16,35 @@
 
 use operator_common::{MemoryStore, WriteFault, apply, block_on};
 
-/// What an operator does next.
+/// A step of an operator.
 #[derive(Clone, Copy, Debug)]
 enum OperatorStep {
-    /// Sets what a service costs.
+    /// Sets the cost of a service.
     Cost { service: u8, cost: u8 },
     /// Removes a service.
     Remove { service: u8 },
     /// Adds a top-up to a budget.
     TopUp { budget: u8 },
-    /// Takes a budget's first top-up out.
+    /// Withdraws the first top-up of a budget.
     Withdraw { budget: u8 },
     /// Applies the files.
     Apply { fault: Option<bool> },
-    /// Takes what is committed into the files.
+    /// Replaces the files by the committed catalogue.
     Pull,
 }
 
 impl Arbitrary for OperatorStep {
     fn arbitrary(source: &mut Gen) -> Self {
         let number = u8::arbitrary(source);
-        let which = u8::arbitrary(source) % 3;
+        let item = u8::arbitrary(source) % 3;
         match u8::arbitrary(source) % 10 {
             0..=2 => OperatorStep::Cost {
-                service: which,
+                service: item,
                 cost: number % 4,
             },
-            3 => OperatorStep::Remove { service: which },
-            4 => OperatorStep::TopUp { budget: which },
-            5 => OperatorStep::Withdraw { budget: which },
+            3 => OperatorStep::Remove { service: item },
+            4 => OperatorStep::TopUp { budget: item },
+            5 => OperatorStep::Withdraw { budget: item },
             6..=7 => OperatorStep::Apply { fault: None },
             8 => OperatorStep::Apply {
                 fault: Some(bool::arbitrary(source)),
@@ -54,9 +54,9 @@
     }
 }
 
-/// An operator's files and what the operator has seen.
+/// The files of an operator and the revisions known to it.
 #[derive(Clone, Debug, Default)]
-struct OperatorDesk {
+struct OperatorState {
     files: DeclaredCatalogue,
     base: BaseFile,
     seen: u64,
@@ -66,7 +66,7 @@
 #[derive(Debug, Default)]
 struct OperatorWorld {
     store: MemoryStore,
-    operators: [OperatorDesk; 2],
+    operators: [OperatorState; 2],
     top_ups: u64,
     newest: u64,
 }
@@ -74,8 +74,8 @@
 const AUTHORS: [&str; 2] = ["ana", "mato"];
 
 impl OperatorWorld {
-    async fn step(&mut self, who: usize, step: OperatorStep) {
-        let files = &mut self.operators[who].files;
+    async fn step(&mut self, index: usize, step: OperatorStep) {
+        let files = &mut self.operators[index].files;
         match step {
             OperatorStep::Cost { service, cost } => {
                 let entry = service_entry(service, cost);
@@ -98,12 +98,12 @@
                     declared.top_ups.pop_first();
                 }
             }
-            OperatorStep::Apply { fault } => self.apply(who, fault).await,
-            OperatorStep::Pull => self.pull(who).await,
+            OperatorStep::Apply { fault } => self.apply(index, fault).await,
+            OperatorStep::Pull => self.pull(index).await,
         }
     }
 
-    async fn apply(&mut self, who: usize, fault: Option<bool>) {
+    async fn apply(&mut self, index: usize, fault: Option<bool>) {
         if let Some(lost) = fault {
             let fault = match lost {
                 true => WriteFault::AnswerLost,
@@ -111,31 +111,32 @@
             };
             self.store.fault("catalogue/change/", fault);
         }
-        let operator = self.operators[who].clone();
-        let result = apply(&self.store, AUTHORS[who], &operator.files, &operator.base).await;
+        let operator = self.operators[index].clone();
+        let result = apply(&self.store, AUTHORS[index], &operator.files, &operator.base).await;
         match result {
             Ok(outcome) => {
-                self.check_commits(who, outcome.revision);
-                self.operators[who].base = outcome.base;
-                self.check_in_force(who, outcome.missing).await;
+                self.check_commits(index, outcome.revision);
+                self.operators[index].base = outcome.base;
+                self.check_committed(index, outcome.missing).await;
             }
             Err(OperatorError::Conflicts(_) | OperatorError::Refusals(_)) => {
-                self.pull(who).await;
+                self.pull(index).await;
             }
             Err(error) => panic!("{error}"),
         }
     }
 
-    /// Whoever changed a thing had seen its last change: pulled it, or made it.
-    fn check_commits(&mut self, who: usize, revision: u64) {
+    /// Checks that the author of each new change knew the previous change of each item, by pulling
+    /// or making it.
+    fn check_commits(&mut self, index: usize, revision: u64) {
         for revision in self.newest + 1..=revision {
             let (author, items) = self.change(revision);
-            assert_eq!(author, AUTHORS[who]);
+            assert_eq!(author, AUTHORS[index]);
             for item in items {
                 let last = (1..revision)
                     .rev()
                     .find(|earlier| self.change(*earlier).1.contains(&item));
-                let operator = &self.operators[who];
+                let operator = &self.operators[index];
                 let known =
                     last.is_none_or(|last| last <= operator.seen || operator.own.contains(&last));
                 assert!(
@@ -143,31 +144,31 @@
                     "revision {revision} overwrites the unseen {last:?}: {item}"
                 );
             }
-            self.operators[who].own.insert(revision);
+            self.operators[index].own.insert(revision);
         }
         self.newest = self.newest.max(revision);
     }
 
-    /// What was accepted is committed, but for what others changed since.
-    async fn check_in_force(&mut self, who: usize, missing: Vec<MissingEdit>) {
+    /// Checks that accepted items are committed, except for those that others changed since.
+    async fn check_committed(&mut self, index: usize, missing: Vec<MissingEdit>) {
         let (revision, committed) = read_declared(&self.store).await.expect("committed");
         let missing: BTreeSet<ItemId> = missing.into_iter().map(|edit| edit.item).collect();
-        let mine = items(&self.operators[who].files);
-        let theirs = items(&committed);
-        for id in mine.keys().chain(theirs.keys()) {
+        let own_items = items(&self.operators[index].files);
+        let committed_items = items(&committed);
+        for id in own_items.keys().chain(committed_items.keys()) {
             if !missing.contains(id) {
-                assert_eq!(mine.get(id), theirs.get(id), "{id}");
+                assert_eq!(own_items.get(id), committed_items.get(id), "{id}");
             }
         }
-        // Files that are the same as what is committed show all of it.
-        if mine == theirs {
-            self.operators[who].seen = revision;
+        // Files that equal the committed catalogue contain all of its changes.
+        if own_items == committed_items {
+            self.operators[index].seen = revision;
         }
     }
 
-    async fn pull(&mut self, who: usize) {
+    async fn pull(&mut self, index: usize) {
         let (revision, files) = read_declared(&self.store).await.expect("committed");
-        let operator = &mut self.operators[who];
+        let operator = &mut self.operators[index];
         operator.seen = revision;
         operator.files = files;
         operator.base = BaseFile {
@@ -187,7 +188,7 @@
     }
 }
 
-/// All things as text; a budget without tokens is the same as none.
+/// Returns all items as text. A budget without tokens equals an absent one.
 fn items(files: &DeclaredCatalogue) -> BTreeMap<ItemId, String> {
     let entries = files
         .entries
@@ -242,21 +243,22 @@
         for (first, step) in steps {
             world.step(usize::from(first), step).await;
         }
-        // Both bring their files into step: they converge on what is committed.
-        for who in [0, 1] {
-            world.apply(who, None).await;
+        // Both operators synchronize their files and must converge on the committed catalogue.
+        for index in [0, 1] {
+            world.apply(index, None).await;
         }
-        for who in [0, 1] {
-            world.pull(who).await;
-            world.apply(who, None).await;
+        for index in [0, 1] {
+            world.pull(index).await;
+            world.apply(index, None).await;
         }
         let [ana, mato] = &world.operators;
         items(&ana.files) == items(&mato.files) && ana.base == mato.base
     })
 }
 
-// Two operators edit and apply in any order; some answers are lost. Nobody overwrites a change that
-// was not seen, what is accepted is committed, and both end with the same files.
+// Two operators edit and apply in random order, and some responses are lost. No operator overwrites
+// a change that it has not seen, accepted edits are committed, and both operators end with the same
+// files.
 #[test]
 fn apply_random_edits_of_two_operators_converge() {
     QuickCheck::new()
--- a/crates/beechsaddle/tests/operator_statement.rs
+++ b/crates/beechsaddle/tests/operator_statement.rs
@@ -1,4 +1,4 @@
-//! Statements of workspaces.
+//! Tests of account statements.
 
 mod operator_common;
 
@@ -31,9 +31,9 @@
     }
 }
 
-// A call is billed provisionally, because its entry router died, and corrected when the caller comes
-// back; a checkpoint carries another bill on. Each call has one line, and no line is another
-// workspace's.
+// A call is billed provisionally after its entry router died, and corrected when the caller
+// retries. A checkpoint carries over another bill. The statement has one line for each call and
+// none of another workspace.
 #[test]
 fn read_bills_has_one_line_for_each_call() {
     block_on(async {
--- a/crates/beechsaddle/tests/platform_lost_answers.rs
+++ b/crates/beechsaddle/tests/platform_lost_answers.rs
@@ -1,4 +1,4 @@
-//! Tests of calls on the platform that get no answer.
+//! Tests of platform calls whose response is lost.
 
 mod platform_support;
 
@@ -19,8 +19,8 @@
     PlatformServer::try_start(ServerOptions::default()).unwrap()
 }
 
-// The write of a grant takes effect and its answer is lost. Were the outcome taken for a failure,
-// the holder would take the grant a second time; it has to read back.
+// The write of a grant takes effect and its response is lost. If the outcome counted as a failure,
+// the holder would take the grant a second time. It must read back instead.
 #[tokio::test]
 async fn write_lost_answer() {
     let server = server();
@@ -31,8 +31,8 @@
     assert_eq!(found_version(&client.read("a/1").await), 1);
 }
 
-// The answer is lost before the write takes effect: who reads back at once finds nothing, and later
-// the write is there.
+// The response is lost before the write takes effect: an immediate read finds nothing, and the
+// write appears later.
 #[tokio::test]
 async fn write_late_effect() {
     let server = server();
@@ -45,8 +45,8 @@
     assert_eq!(found_version(&client.read("a/1").await), 1);
 }
 
-// The platform refuses connections: nothing can have been written, and a call that waits for it may
-// be refused as not run. The same must hold when the connection that is refused was good before.
+// The platform refuses connections, so nothing was written and a waiting call may be refused as not
+// run. The same holds when the client had a working connection before.
 #[tokio::test]
 async fn write_refused_connect() {
     let server = server();
@@ -65,8 +65,8 @@
     assert_eq!(reply, PlatformReply::Written { version: 1 });
 }
 
-// The platform accepts the write and then says nothing. The call has to end in its time, and what
-// became of the write is not known.
+// The platform accepts the write and never responds. The call must end within its time limit with
+// an unknown outcome.
 #[tokio::test]
 async fn write_without_answer() {
     let server = server();
@@ -88,16 +88,21 @@
     assert_eq!(reply, PlatformReply::Written { version: 1 });
 }
 
-/// Answers every request with `answer` but the one numbered `silent`, after which it closes.
-/// Counts the requests that arrive, on all connections together.
-async fn raw_server(answer: &'static str, silent: u32) -> (SocketAddr, Arc<AtomicU32>) {
+/// Sends `response` to every request except the one numbered `unanswered`, after which it closes
+/// the connection. Counts the requests that arrive on all connections.
+async fn raw_server(response: &'static str, unanswered: u32) -> (SocketAddr, Arc<AtomicU32>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let arrived = Arc::new(AtomicU32::new(0));
     let counter = Arc::clone(&arrived);
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(raw_connection(stream, answer, silent, Arc::clone(&counter)));
+            tokio::spawn(raw_connection(
+                stream,
+                response,
+                unanswered,
+                Arc::clone(&counter),
+            ));
         }
     });
     (address, arrived)
@@ -105,15 +110,15 @@
 
 async fn raw_connection(
     mut stream: TcpStream,
-    answer: &'static str,
-    silent: u32,
+    response: &'static str,
+    unanswered: u32,
     arrived: Arc<AtomicU32>,
 ) {
     let mut buffer = vec![0; 4096];
-    // The requests are small and come in one piece.
+    // The requests are small and arrive in one read.
     while stream.read(&mut buffer).await.is_ok_and(|size| size > 0) {
         let number = arrived.fetch_add(1, Ordering::SeqCst) + 1;
-        if number == silent || stream.write_all(answer.as_bytes()).await.is_err() {
+        if number == unanswered || stream.write_all(response.as_bytes()).await.is_err() {
             return;
         }
     }
@@ -126,13 +131,13 @@
     }
 }
 
-// The second write goes out on a connection that was good for the first. The platform reads it,
-// perhaps carries it out, and closes. An HTTP client that takes this for an idle connection that
-// went stale sends the write again: it would be carried out twice.
+// The second write uses the connection of the first. The platform reads it, possibly executes it,
+// and closes. An HTTP client that takes this for a stale idle connection resends the write, which
+// would then be executed twice.
 #[tokio::test]
 async fn write_reused_connection_closed() {
-    let answer = "HTTP/1.1 200 OK\r\netag: \"5\"\r\ncontent-length: 0\r\n\r\n";
-    let (address, arrived) = raw_server(answer, 2).await;
+    let response = "HTTP/1.1 200 OK\r\netag: \"5\"\r\ncontent-length: 0\r\n\r\n";
+    let (address, arrived) = raw_server(response, 2).await;
     let client = client(&raw_options(address));
     let first = client.write("a/1", layout(1), WriteGuard::Absent).await;
     assert_eq!(first, PlatformReply::Written { version: 5 });
@@ -142,13 +147,13 @@
     assert_eq!(arrived.load(Ordering::SeqCst), 2);
 }
 
-// The connection is closed by the platform while it is idle. The next write may meet the closed
-// connection; it must end in a reply and arrive once at most.
+// The platform closes an idle connection. The next write may use the closed connection, and must
+// end in a reply and arrive at most once.
 #[tokio::test]
 async fn write_idle_connection_closed() {
     for pause_ms in [0, 1, 20] {
-        let answer = "HTTP/1.1 200 OK\r\netag: \"5\"\r\ncontent-length: 0\r\n\r\n";
-        let (address, arrived) = raw_server(answer, 2).await;
+        let response = "HTTP/1.1 200 OK\r\netag: \"5\"\r\ncontent-length: 0\r\n\r\n";
+        let (address, arrived) = raw_server(response, 2).await;
         let client = client(&raw_options(address));
         let reply = client.write("a/1", layout(1), WriteGuard::Absent).await;
         assert_eq!(reply, PlatformReply::Written { version: 5 });
@@ -166,39 +171,39 @@
     }
 }
 
-// The platform dies in the middle of an answer. Half of a value is not the value, and half of an
-// answer to a write does not say what became of it.
+// The platform dies in the middle of a response. A partial value must not be used as the value, and
+// a partial response to a write leaves its outcome unknown.
 #[tokio::test]
 async fn read_broken_answer() {
-    let answer = "HTTP/1.1 200 OK\r\netag: \"5\"\r\ncontent-length: 100\r\n\r\nhalf";
-    let (address, _) = raw_server(answer, 0).await;
+    let response = "HTTP/1.1 200 OK\r\netag: \"5\"\r\ncontent-length: 100\r\n\r\nhalf";
+    let (address, _) = raw_server(response, 0).await;
     let client = client(&raw_options(address));
     assert_eq!(client.read("a/1").await, PlatformReply::Unknown);
     let write = client.write("a/1", layout(1), WriteGuard::Absent).await;
     assert_eq!(write, PlatformReply::Unknown);
 }
 
-// A proxy before the platform answers for it. It has sent the write on, so that its 503, which says
-// nothing of when to come back, does not mean that nothing was changed.
+// A proxy in front of the platform responds for it after forwarding the write, so its 503 without a
+// retry delay does not mean that nothing was changed.
 #[tokio::test]
-async fn write_error_of_another() {
-    for answer in [
+async fn write_error_of_proxy() {
+    for response in [
         "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n",
         "HTTP/1.1 500 Internal Server Error\r\ncontent-length: 0\r\n\r\n",
         "HTTP/1.1 504 Gateway Timeout\r\ncontent-length: 0\r\n\r\n",
         "HTTP/1.1 302 Found\r\nlocation: /\r\ncontent-length: 0\r\n\r\n",
     ] {
-        let (address, arrived) = raw_server(answer, 0).await;
+        let (address, arrived) = raw_server(response, 0).await;
         let client = client(&raw_options(address));
         let reply = client.write("a/1", layout(1), WriteGuard::Absent).await;
-        assert_eq!(reply, PlatformReply::Unknown, "{answer}");
+        assert_eq!(reply, PlatformReply::Unknown, "{response}");
         assert_eq!(arrived.load(Ordering::SeqCst), 1);
     }
 }
 
-// Something that is no HTTP server listens at the address.
+// A server with another protocol listens at the address.
 #[tokio::test]
-async fn write_no_http() {
+async fn write_to_non_http_server() {
     let (address, _) = raw_server("220 mail.example ESMTP\r\n", 0).await;
     let client = client(&raw_options(address));
     let reply = client.write("a/1", layout(1), WriteGuard::Absent).await;
--- a/crates/beechsaddle/tests/platform_outcomes.rs
+++ b/crates/beechsaddle/tests/platform_outcomes.rs
@@ -1,4 +1,4 @@
-//! Tests of what the platform's answers mean.
+//! Tests of the interpretation of the platform's responses.
 
 mod platform_support;
 
@@ -120,8 +120,8 @@
     assert_eq!(objects[0].object, None);
 }
 
-// A watch waits longer than other calls may last. With one time limit for all calls it would be cut
-// each time just before its answer, and changes would never be seen.
+// A watch lasts longer than other calls may. With one time limit for all calls it would be cut off
+// before every response, and changes would never be seen.
 #[tokio::test]
 async fn watch_outlasts_timeout() {
     let server = PlatformServer::try_start(ServerOptions {
@@ -145,8 +145,8 @@
     assert!(started.elapsed() >= Duration::from_millis(700));
 }
 
-// One object under a watched prefix is damaged. If that spoilt the page, the watch would meet the
-// same page again and again, and no later change would ever come into force.
+// One object under a watched prefix is damaged. If that invalidated the page, the watch would
+// receive the same page forever, and no later change would take effect.
 #[tokio::test]
 async fn watch_skips_damaged_object() {
     let server = server();
@@ -174,7 +174,7 @@
     server.set_faults(faults(PlatformFault::Garbage));
     assert_eq!(client.read("a/1").await, PlatformReply::Invalid);
     assert_eq!(client.list("a/", None).await, PlatformReply::Invalid);
-    // A write that is answered without a version may have taken effect.
+    // A write whose response has no version may have taken effect.
     let write = client.write("a/1", layout(1), WriteGuard::Absent).await;
     assert_eq!(write, PlatformReply::Unknown);
 }
@@ -235,10 +235,10 @@
     assert_eq!(reply, PlatformReply::Throttled { retry_after_ms: 40 });
 }
 
-// A broken platform asks to stay away for centuries. Taken at its word, the journal would never be
-// written again; the answer is taken for a minute.
+// A faulty platform requests a retry delay of centuries. Without a limit the journal would never be
+// written again, so the delay is capped at one minute.
 #[tokio::test]
-async fn write_unavailable_for_centuries() {
+async fn write_unavailable_delay_is_capped() {
     let server = server();
     let client = client(&options(&server));
     let retry_after_ms = u64::MAX / 2;
--- a/crates/beechsaddle/tests/platform_ring.rs
+++ b/crates/beechsaddle/tests/platform_ring.rs
@@ -27,15 +27,15 @@
 }
 
 fn receive(events: &Receiver<CoreEvent>) -> (u64, PlatformReply) {
-    match events.recv_timeout(PATIENCE) {
+    match events.recv_timeout(REPLY_TIMEOUT) {
         Ok(CoreEvent::Platform { ticket, reply }) => (ticket.number, reply),
         other => panic!("expected a reply, got {other:?}"),
     }
 }
 
-// Half of the calls go wrong in some way, and the core is slow to take replies from a ring that is
-// smaller than their number. Each ticket has to come back once: one that does not come leaves a
-// budget waiting for ever, one that comes twice answers a later question.
+// Many of the calls fail in various ways, and the core is slow to read replies from a ring smaller
+// than their number. Each ticket must get exactly one reply: a missing reply blocks a budget
+// forever, and a second one would be taken as the reply to a later call.
 #[test]
 fn send_every_ticket_once() {
     let server = server();
@@ -79,8 +79,8 @@
     assert_eq!(replies[&40], PlatformReply::Unknown);
 }
 
-// The platform hangs and the core goes on making calls. The core must not wait and the calls must
-// not pile up: what finds no place is answered at once, as not sent, and counted.
+// The platform hangs while the core continues to make calls. The core must not block and calls must
+// not accumulate: calls without a permit are returned at once as not sent, and counted.
 #[test]
 fn send_too_many_in_flight() {
     let server = server();
@@ -93,7 +93,7 @@
     for number in 0..3 {
         handle.send(ticket(number), write_call(number)).unwrap();
     }
-    // The ring is empty again; the places are not.
+    // The ring is empty again, but the permits are still held.
     while server.counters().writes < 3 {
         std::thread::sleep(Duration::from_millis(2));
     }
@@ -109,7 +109,7 @@
     }
     assert_eq!(server.counters().writes, 3);
 
-    // The places are free again. The last one is freed just after its reply is taken.
+    // The permits are free again. The last one is released shortly after its reply is received.
     server.set_faults(PlatformFaults::default());
     std::thread::sleep(Duration::from_millis(20));
     for number in 10..13 {
@@ -120,7 +120,7 @@
     }
 }
 
-// One router is cut off from the platform, and another is not.
+// One router is cut off from the platform while another is not.
 #[test]
 fn send_one_host_cut_off() {
     let server = server();
@@ -140,7 +140,7 @@
     assert_eq!(receive(&events).1, PlatformReply::Unknown);
 }
 
-// An outage begins while a watch waits. The watch ends then, and not after its waiting time.
+// An outage begins while a watch is pending. The watch ends then, and not after its full duration.
 #[test]
 fn send_watch_cut_by_outage() {
     let server = server();
--- a/crates/beechsaddle/tests/platform_support/mod.rs
+++ b/crates/beechsaddle/tests/platform_support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the platform edge share.
+//! Shared helpers for the tests of the platform edge.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -13,8 +13,8 @@
 use beechsaddle_lab::stand_in::platform::{CallScope, FaultRule, PlatformFault, PlatformFaults};
 use crossbeam_channel::{Receiver, bounded};
 
-/// Longer than any call of these tests lasts.
-pub const PATIENCE: Duration = Duration::from_secs(5);
+/// The time limit for a reply, longer than any call of these tests.
+pub const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub fn layout(ledger_shards: u32) -> PlatformObject {
     PlatformObject::Layout(FleetLayout {
@@ -31,14 +31,14 @@
 }
 
 pub fn client(options: &PlatformOptions) -> PlatformClient {
-    let me = RouterIncarnation::new("host-a", 7);
-    PlatformClient::try_new(options, Some(&me)).unwrap()
+    let incarnation = RouterIncarnation::new("host-a", 7);
+    PlatformClient::try_new(options, Some(&incarnation)).unwrap()
 }
 
 pub fn edge(options: &PlatformOptions) -> (PlatformHandle, Receiver<CoreEvent>) {
     let (events, received) = bounded(4);
-    let me = RouterIncarnation::new("host-a", 7);
-    let handle = PlatformEdge::try_start(options, &me, events).unwrap();
+    let incarnation = RouterIncarnation::new("host-a", 7);
+    let handle = PlatformEdge::try_start(options, &incarnation, events).unwrap();
     (handle, received)
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// The version of a found object.
+/// Returns the version of a found object.
 pub fn found_version(reply: &PlatformReply) -> u64 {
     match reply {
         PlatformReply::Found(stored) => stored.version,
--- a/crates/beechsaddle/tests/report_edge.rs
+++ b/crates/beechsaddle/tests/report_edge.rs
@@ -1,4 +1,4 @@
-//! Tests of the edge that logs and counts.
+//! Tests of the edge that writes logs and metrics.
 
 use std::collections::BTreeSet;
 use std::io::{self, Write};
@@ -34,7 +34,7 @@
     }
 }
 
-// A log reader that takes nothing until it is told to.
+// A log writer that blocks until it is released.
 struct BlockedWriter {
     started: Sender<()>,
     release: Receiver<()>,
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn report_log_one_line_an_event() {
+fn report_log_one_line_per_event() {
     let text = SharedText::default();
     let options = ReportOptions::new("host-a@1").with_writer(text.clone());
     let (handle, thread) = ReportEdge::try_start(options).expect("starts");
@@ -98,10 +98,11 @@
     assert_eq!(without_time(&lines[0]), "level=error event=heard");
 }
 
-// The log's reader stands still, as with a full pipe. The router goes on deciding: handing over a
-// line never waits, what does not fit is dropped, and the log says how much once it is read again.
+// The log's reader is blocked, as with a full pipe. The router must continue: sending a line never
+// blocks, lines that do not fit are dropped, and the log reports their number once it is read
+// again.
 #[test]
-fn report_send_full_ring_is_told_later() {
+fn report_send_full_ring_logs_dropped_count() {
     let text = SharedText::default();
     let (started, first_write) = channel();
     let (unblock, release) = channel();
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn counter_name_all_stands_in_the_documentation() {
+fn counter_names_match_the_documentation() {
     let page = include_str!("../../../docs/METRICS.md");
     let documented: Vec<&str> = page
         .lines()
--- a/crates/beechsaddle/tests/settings_page.rs
+++ b/crates/beechsaddle/tests/settings_page.rs
@@ -1,8 +1,8 @@
-//! The settings page against the settings that are read.
+//! Tests of the settings page against the settings that are read.
 
 use beechsaddle::settings::{MetricSettings, RouterSettings};
 
-/// The whole file in `docs/SETTINGS.md`.
+/// Returns the complete settings file in `docs/SETTINGS.md`.
 fn documented_file() -> String {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/SETTINGS.md");
     let page = std::fs::read_to_string(path).expect("the page");
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn documented_file_holds_the_defaults() {
+fn documented_file_states_the_defaults() {
     let settings = RouterSettings::try_parse("SETTINGS.md", documented_file()).expect("settings");
     assert_eq!(settings.budgets, Default::default());
     assert_eq!(settings.limits, Default::default());
@@ -37,8 +37,8 @@
     assert_eq!(short.platform, settings.platform);
 }
 
-// A key that is read but not on the page would be found by nobody: one key more in a table makes
-// the check name all known ones.
+// Guards against keys that are read but not documented: an unknown key in each table makes the
+// check list all known ones.
 #[test]
 fn documented_file_names_every_key() {
     let text = documented_file();
--- a/crates/beechsaddle/tests/settings_parse.rs
+++ b/crates/beechsaddle/tests/settings_parse.rs
@@ -1,4 +1,4 @@
-//! Reading and checking of a router's settings file.
+//! Tests of reading and checking a router's settings file.
 
 use beechsaddle::settings::RouterSettings;
 
@@ -19,7 +19,7 @@
 "#;
 
 fn lines_of(text: impl AsRef<str>) -> Vec<String> {
-    let findings = RouterSettings::try_parse("router.toml", text).expect_err("mistakes");
+    let findings = RouterSettings::try_parse("router.toml", text).expect_err("findings");
     findings.to_string().lines().map(str::to_string).collect()
 }
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn try_parse_five_mistakes_reports_all_with_lines() {
+fn try_parse_five_errors_reports_all_with_lines() {
     let text = r#"[router]
 host = "entry 1"
 domain = "split-hala"
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn try_parse_syntax_error_shows_later_mistakes_too() {
+fn try_parse_syntax_error_reports_later_errors_too() {
     let text = format!("{GOOD}bridges = = 3\nwatchers = 0\n");
     let lines = lines_of(text);
     assert!(
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn try_parse_doubled_seed_is_found() {
+fn try_parse_duplicate_seed_is_found() {
     let seed = "[[peers.seed]]\nhost = \"entry-2\"\ndomain = \"split-hala\"\n\
                 address = \"127.0.0.1:7202\"\n";
     let lines = lines_of(format!("{GOOD}{seed}{seed}"));
