--- a/crates/beechsaddle/src/calls/admin_service.rs
+++ b/crates/beechsaddle/src/calls/admin_service.rs
@@ -1,4 +1,4 @@
-//! The `admin_service` module provides what operators can ask of the router.
+//! The `admin_service` module provides the HTTP service for operators.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -16,10 +16,10 @@
 
 use super::edge_state::EdgeState;
 
-/// How long the core may take to tell its status.
-const STATUS_SPAN: Duration = Duration::from_secs(2);
+/// Time limit for the core to answer a status query.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answers operators.
+/// Serves `/admin/status` on the operators' listener.
 #[derive(Clone)]
 pub(crate) struct AdminService {
     state: Arc<EdgeState>,
@@ -54,16 +54,15 @@
 }
 
 impl AdminService {
-    /// A service over the shared state.
     pub(crate) fn new(state: Arc<EdgeState>) -> Self {
         AdminService { state }
     }
 
     async fn query_status(&self) -> Option<Box<RouterStatus>> {
         let (query, answer) = self.state.queries.open();
-        let is_raised = self.state.ring.try_raise(CoreEvent::StatusQuery { query });
-        let status = match is_raised {
-            true => tokio::time::timeout(STATUS_SPAN, answer).await.ok(),
+        let is_sent = self.state.ring.try_raise(CoreEvent::StatusQuery { query });
+        let status = match is_sent {
+            true => tokio::time::timeout(STATUS_TIMEOUT, answer).await.ok(),
             false => None,
         };
         self.state.queries.close(query);
--- a/crates/beechsaddle/src/calls/answer_body.rs
+++ b/crates/beechsaddle/src/calls/answer_body.rs
@@ -1,4 +1,5 @@
-//! The `answer_body` module provides answers that are relayed part by part.
+//! The `answer_body` module provides the body of an answer that is relayed while the target sends
+//! it.
 
 use std::fmt;
 use std::pin::Pin;
@@ -13,47 +14,47 @@
 
 use super::answer_tail::AnswerTail;
 use super::call_guard::CallGuard;
-use super::connection_mark::ConnectionMark;
+use super::connection_tracker::ConnectionTracker;
 
-/// How often the core hears of a stream's progress.
-const PROGRESS_SPAN: Duration = Duration::from_secs(1);
+/// Minimum interval between two progress reports of a stream to the core.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How far an answer has come.
+/// State of the relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RelayStage {
-    /// Parts of it go to the caller as they come.
+    /// Data is forwarded to the caller as it arrives.
     Relaying,
-    /// It is whole, and its last part waits for the core.
+    /// The answer is complete; its last part is held back until the core releases it.
     Holding,
-    /// The last part went to the caller.
+    /// The last part has been sent to the caller, or the answer was aborted.
     Ended,
 }
 
-/// The answer of a target on its way to the caller.
+/// Body of a target's answer on its way to the caller.
 ///
-/// The caller's connection pulls: a part is read from the target only when the caller's connection
-/// has room for it, so that a slow caller slows its target down and costs no memory. When the
-/// caller is gone the body is dropped, and with it the target's connection and the call's guard.
+/// The caller's connection pulls: data is read from the target only when the caller's connection
+/// has room for it, so a slow caller slows its target down and uses no memory. When the caller
+/// disconnects, the body is dropped, and with it the target's connection and the call's guard.
 pub(crate) struct AnswerBody {
     target: Option<volo_http::body::Body>,
     tail: AnswerTail,
     stage: RelayStage,
     guard: CallGuard,
     actions: mpsc::Receiver<CallAction>,
-    mark: ConnectionMark,
+    tracker: ConnectionTracker,
     idle: Duration,
     idle_timer: Option<Pin<Box<Sleep>>>,
     waits_since: Option<Instant>,
     last_progress: Instant,
 }
 
-/// An answer that broke off; the caller's connection ends in a reset.
+/// An answer that ended before it was complete; the caller's connection is closed with a reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BrokenAnswer;
 
 impl fmt::Display for BrokenAnswer {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("the target's answer broke off")
+        formatter.write_str("the target's answer ended before it was complete")
     }
 }
 
@@ -66,7 +67,7 @@
         tail: AnswerTail,
         guard: CallGuard,
         actions: mpsc::Receiver<CallAction>,
-        mark: ConnectionMark,
+        tracker: ConnectionTracker,
     ) -> Self {
         let idle = Duration::from_millis(guard.state().options.answer_idle_ms);
         AnswerBody {
@@ -75,7 +76,7 @@
             stage: RelayStage::Relaying,
             guard,
             actions,
-            mark,
+            tracker,
             idle,
             idle_timer: None,
             waits_since: None,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Relays the next part; `None` when the answer has become whole.
+    /// Relays the next part; returns `None` once the answer is complete.
     fn poll_relay(
         &mut self,
         context: &mut Context<'_>,
@@ -106,12 +107,12 @@
             let part = match frame {
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
                 Some(Err(_)) => return Poll::Ready(Err(BrokenAnswer)),
-                None if self.tail.is_whole_at_end() => return Poll::Ready(Ok(None)),
+                None if self.tail.is_complete_at_end() => return Poll::Ready(Ok(None)),
                 None => return Poll::Ready(Err(BrokenAnswer)),
             };
             let part = self.tail.push(part).map_err(|_| BrokenAnswer)?;
-            self.guard.note_usage(self.tail.usage());
-            self.tell_progress();
+            self.guard.record_usage(self.tail.usage());
+            self.report_progress();
             if !part.is_empty() {
                 return Poll::Ready(Ok(Some(part)));
             }
@@ -121,8 +122,8 @@
         }
     }
 
-    /// Whether the core wants the answer broken off. Polls until nothing is left, since only then
-    /// the next action wakes the answer up.
+    /// Whether the core has aborted the answer. Polls until no action is left, since only a pending
+    /// poll registers the waker for the next one.
     fn is_aborted(&mut self, context: &mut Context<'_>) -> bool {
         loop {
             match self.actions.poll_recv(context) {
@@ -133,8 +134,8 @@
         }
     }
 
-    /// Ready when the target has sent nothing for too long. Time in which the caller took nothing
-    /// does not count, since the target was not read then.
+    /// Ready when the target has sent nothing for the idle limit. Time in which the caller accepted
+    /// no data does not count, since the target is not read then.
     fn poll_idle(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let waits_since = *self.waits_since.get_or_insert_with(Instant::now);
         let deadline = waits_since + self.idle;
@@ -150,15 +151,15 @@
         }
     }
 
-    fn tell_progress(&mut self) {
+    fn report_progress(&mut self) {
         let is_stream = matches!(self.tail, AnswerTail::Events(_));
-        if is_stream && self.last_progress.elapsed() >= PROGRESS_SPAN {
+        if is_stream && self.last_progress.elapsed() >= PROGRESS_INTERVAL {
             self.last_progress = Instant::now();
-            self.guard.tell_progress();
+            self.guard.report_progress();
         }
     }
 
-    /// Waits for the core's word on the last part.
+    /// Waits until the core releases or aborts the held-back last part.
     fn poll_hold(&mut self, context: &mut Context<'_>) -> Poll<Result<Bytes, BrokenAnswer>> {
         self.drain_target(context);
         loop {
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Reads what follows the last part, so that the target's connection can be used again.
+    /// Reads the remaining frames of the body, so that the target's connection can be reused.
     fn drain_target(&mut self, context: &mut Context<'_>) {
         while let Some(target) = self.target.as_mut() {
             match Pin::new(target).poll_frame(context) {
@@ -181,11 +182,11 @@
         }
     }
 
-    fn break_off(&mut self) -> Poll<Option<Result<Frame<Bytes>, BrokenAnswer>>> {
+    fn abort(&mut self) -> Poll<Option<Result<Frame<Bytes>, BrokenAnswer>>> {
         self.stage = RelayStage::Ended;
         self.target = None;
         self.guard.end_answer(AnswerEnd::Truncated);
-        self.mark.break_off();
+        self.tracker.mark_broken();
         Poll::Ready(Some(Err(BrokenAnswer)))
     }
 }
@@ -206,7 +207,7 @@
                         self.stage = RelayStage::Holding;
                         self.guard.end_answer(AnswerEnd::Complete);
                     }
-                    Err(BrokenAnswer) => return self.break_off(),
+                    Err(BrokenAnswer) => return self.abort(),
                 },
                 RelayStage::Holding => match ready!(self.poll_hold(context)) {
                     Ok(tail) => {
@@ -216,7 +217,7 @@
                             return Poll::Ready(Some(Ok(Frame::data(tail))));
                         }
                     }
-                    Err(BrokenAnswer) => return self.break_off(),
+                    Err(BrokenAnswer) => return self.abort(),
                 },
                 RelayStage::Ended => return Poll::Ready(None),
             }
--- a/crates/beechsaddle/src/calls/answer_tail.rs
+++ b/crates/beechsaddle/src/calls/answer_tail.rs
@@ -1,35 +1,37 @@
-//! The `answer_tail` module provides the last part of an answer, which is held back.
+//! The `answer_tail` module provides the last part of an answer, which is held back until it is
+//! billed.
 
 use beechsaddle_core::call::TokenUsage;
 use bytes::Bytes;
 
 use super::event_scanner::{EventScanner, EventTooLong};
 
-/// Tells what of an answer may go to the caller now, and when the answer is whole.
+/// Decides which bytes of an answer may be forwarded at once, and when the answer is complete.
 ///
-/// A caller that has the last part has its answer, and the call must then be billed. So the last
-/// part waits until the usage is safe: the events that end a stream, the bytes that complete a
-/// known length, or else the end of the body itself, which is the last chunk on the wire.
+/// A caller that has the last part has its answer, and the call must then be billed. The last part
+/// is therefore held back until the usage is recorded: the events that end a stream, the bytes that
+/// complete a known length, or else the end of the body itself, which is the last chunk on the
+/// wire.
 pub(crate) enum AnswerTail {
-    /// A stream of events.
+    /// A stream of server-sent events.
     Events(Box<EventScanner>),
-    /// A body of known length.
+    /// A body with a known length.
     Sized {
-        /// Bytes that are still to come.
+        /// Bytes not yet received.
         remaining: u64,
-        /// The last bytes.
+        /// The held-back last bytes.
         tail: Bytes,
     },
-    /// A body that ends with its last chunk.
+    /// A body with chunked transfer encoding.
     Chunked,
 }
 
 impl AnswerTail {
-    /// Takes what was read and returns what may go to the caller now.
+    /// Adds received data and returns the part that may be forwarded now.
     ///
     /// # Errors
     ///
-    /// [`EventTooLong`], from a stream of events only.
+    /// [`EventTooLong`], for streams of events only.
     pub(crate) fn push(&mut self, part: Bytes) -> Result<Bytes, EventTooLong> {
         match self {
             AnswerTail::Events(scanner) => scanner.push(part),
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Whether the answer is whole though its body may not have ended yet.
+    /// Whether the answer is complete, even if its body has not ended yet.
     pub(crate) fn is_done(&self) -> bool {
         match self {
             AnswerTail::Events(scanner) => scanner.is_done(),
@@ -54,12 +56,12 @@
         }
     }
 
-    /// Whether the answer is whole if its body ends here, without an error.
-    pub(crate) fn is_whole_at_end(&self) -> bool {
+    /// Whether the answer is complete if its body ends here without an error.
+    pub(crate) fn is_complete_at_end(&self) -> bool {
         matches!(self, AnswerTail::Chunked) || self.is_done()
     }
 
-    /// What was used so far.
+    /// Token usage so far; zero for bodies that are not event streams.
     pub(crate) fn usage(&self) -> TokenUsage {
         match self {
             AnswerTail::Events(scanner) => scanner.usage(),
@@ -67,7 +69,7 @@
         }
     }
 
-    /// What was held back.
+    /// Returns the held-back data.
     pub(crate) fn take(&mut self) -> Bytes {
         match self {
             AnswerTail::Events(scanner) => scanner.take_tail(),
--- a/crates/beechsaddle/src/calls/attempt.rs
+++ b/crates/beechsaddle/src/calls/attempt.rs
@@ -1,4 +1,4 @@
-//! The `attempt` module provides one dispatch of a call to a target, up to the head of its answer.
+//! The `attempt` module provides one attempt of a call at a target, up to the head of the answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,50 +17,45 @@
 use super::plain_request::PlainRequest;
 use super::target_client::ConnectionChoice;
 
-/// Where engines take chats.
+/// Chat endpoint of the engines.
 const CHAT_PATH: &str = "/v1/chat/completions";
 
-/// What a call sends to its target.
+/// Request content of a call.
 pub(crate) enum CallContent {
-    /// A chat for an engine.
     Chat {
-        /// The chat.
         chat: ChatRequest,
-        /// The caller's idempotency key.
         idempotency: Option<KeyText>,
     },
-    /// A call to a plain service.
     Plain(PlainRequest),
 }
 
-/// Whose answer a target says it is.
+/// Result of comparing the attempt id that a target echoes with the attempt sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AnswerEcho {
-    /// This attempt's.
+    /// This attempt.
     Own,
-    /// Another attempt's.
+    /// Another attempt.
     Other,
-    /// It does not say.
+    /// The answer has no echo.
     None,
 }
 
-/// What the core decided about one attempt.
-pub(crate) struct AttemptOrder {
-    /// The attempt.
+/// The core's decision about one attempt.
+pub(crate) struct AttemptDispatch {
     pub(crate) attempt: AttemptId,
-    /// Where the target listens.
+    /// Socket address of the target.
     pub(crate) address: String,
-    /// The `max_tokens` to send.
+    /// Value for `max_tokens`.
     pub(crate) output_limit: Option<u64>,
-    /// How long to wait for the head, in milliseconds.
+    /// Time limit for the answer's head, in milliseconds.
     pub(crate) head_timeout_ms: u64,
-    /// When the caller gives up.
+    /// The caller's deadline.
     pub(crate) deadline: Option<ClockTime>,
     /// Whether the call may be repeated.
     pub(crate) repeatable: bool,
 }
 
-impl TryFrom<CallAction> for AttemptOrder {
+impl TryFrom<CallAction> for AttemptDispatch {
     type Error = CallAction;
 
     fn try_from(action: CallAction) -> Result<Self, CallAction> {
@@ -73,7 +68,7 @@
                 head_timeout_ms,
                 deadline,
                 repeatable,
-            } => Ok(AttemptOrder {
+            } => Ok(AttemptDispatch {
                 attempt,
                 address,
                 output_limit,
@@ -86,12 +81,12 @@
     }
 }
 
-impl AttemptOrder {
-    /// Sends the call once and returns the head of an answer that may be relayed.
+impl AttemptDispatch {
+    /// Sends the call once and returns an answer whose body has not been read.
     ///
     /// # Errors
     ///
-    /// Why there is none; `ConnectFailed` only where no byte can have reached the target.
+    /// The reason of the failure; `ConnectFailed` only if no byte can have reached the target.
     pub(crate) async fn try_send(
         &self,
         content: &CallContent,
@@ -109,13 +104,13 @@
             false => ConnectionChoice::Fresh,
         };
         let sending = state.client.send(address, request, choice);
-        let answer = match tokio::time::timeout(self.head_span(), sending).await {
+        let answer = match tokio::time::timeout(self.head_timeout(), sending).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => return Err(read_client_error(&error)),
             Err(_elapsed) => return Err(AttemptFailure::TimedOut),
         };
         let echo = self.read_echo(answer.headers());
-        state.echoes.note(address, echo == AnswerEcho::Own);
+        state.echoes.record(address, echo == AnswerEcho::Own);
         match (echo, choice) {
             (AnswerEcho::Own, _) | (AnswerEcho::None, ConnectionChoice::Fresh) => {}
             (AnswerEcho::Other, _) | (AnswerEcho::None, ConnectionChoice::Pooled) => {
@@ -127,7 +122,7 @@
         Ok(answer)
     }
 
-    fn head_span(&self) -> Duration {
+    fn head_timeout(&self) -> Duration {
         let left_ms = self
             .deadline
             .map_or(u64::MAX, |deadline| deadline.since(system_time()));
@@ -178,11 +173,12 @@
         Some(request)
     }
 
-    /// Whose answer it is, as far as the target tells.
+    /// Compares the echoed attempt id with this attempt.
     ///
-    /// A target, or something before it, that mixes up connections would give one caller another
+    /// A target, or a proxy before it, that mixes up connections would give one caller another
     /// caller's answer. An answer that names another attempt is dropped with its connection; so is
-    /// one without a name on a kept connection, which only targets that name attempts have.
+    /// one without an echo on a reused connection, since connections are reused only for targets
+    /// that echo.
     fn read_echo(&self, headers: &HeaderMap) -> AnswerEcho {
         let expected = self.attempt.to_string();
         let mut echoes = headers.get_all(ATTEMPT_HEADER).iter().peekable();
@@ -195,10 +191,10 @@
         }
     }
 
-    /// Tells a failed attempt from an answer for the caller.
+    /// Separates failed attempts from answers for the caller.
     ///
-    /// The server error of a call that may not be repeated is relayed: nobody may try again, and
-    /// the target's own words are the best account of what happened.
+    /// A server error of a call that may not be repeated is relayed: the call cannot be retried,
+    /// and the target's own error describes best what happened.
     fn check_status(
         &self,
         status: StatusCode,
--- a/crates/beechsaddle/src/calls/attempt_failure.rs
+++ b/crates/beechsaddle/src/calls/attempt_failure.rs
@@ -1,4 +1,4 @@
-//! The `attempt_failure` module provides what a failed attempt means for the call.
+//! The `attempt_failure` module provides the classification of client errors.
 
 use std::error::Error as _;
 use std::io;
@@ -7,12 +7,12 @@
 use volo_http::error::ClientError;
 use volo_http::error::client::ErrorKind;
 
-/// Tells whether a byte of the request can have reached the target.
+/// Classifies a client error by whether a byte of the request can have reached the target.
 ///
-/// The library gives a failed connect the same kind as a failed request, and only the cause tells
-/// them apart: a bare I/O error comes from connecting, an error of the HTTP connection from a
-/// request on it. Of the latter, a cancelled request was still in the queue of its connection.
-/// Everything else may have run: "not run" must never be said of it.
+/// The library reports a failed connect with the same kind as a failed request; only the source
+/// differs: a bare I/O error comes from connecting, an error of the HTTP connection from a request
+/// on it. Of the latter, a cancelled request was still in the queue of its connection. In all other
+/// cases the request may have run and must not be reported as "not run".
 pub(crate) fn read_client_error(error: &ClientError) -> AttemptFailure {
     match error.kind() {
         ErrorKind::Connect | ErrorKind::Builder | ErrorKind::Context | ErrorKind::LoadBalance => {
--- a/crates/beechsaddle/src/calls/body_memory.rs
+++ b/crates/beechsaddle/src/calls/body_memory.rs
@@ -1,64 +1,65 @@
-//! The `body_memory` module provides a common bound on the memory of all request bodies.
+//! The `body_memory` module provides a common limit on the memory of all request bodies.
 
 use std::sync::Arc;
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// The unit in which memory is counted, so that the counts fit the semaphore's numbers.
-const UNIT_BYTES: usize = 1_024;
+/// Unit of accounting in bytes, so that the counts fit the semaphore's number of permits.
+const MEMORY_UNIT_BYTES: usize = 1_024;
 
-/// What all request bodies together may take.
+/// Limit on the memory of all request bodies together.
 ///
-/// The limit of one body times the number of connections is more than a small host has: callers
-/// that each send a large body at a time would have the process killed, and with it every stream.
+/// The limit of one body times the number of connections is more memory than a small host has.
+/// Callers that send large bodies at the same time would get the process killed, and with it every
+/// stream.
 #[derive(Clone)]
 pub(crate) struct BodyMemory {
     units: Arc<Semaphore>,
 }
 
-/// The part of the memory that one body takes; given back when dropped.
+/// Memory held for one body; released when dropped.
 pub(crate) struct MemoryShare {
     memory: BodyMemory,
     permit: Option<OwnedSemaphorePermit>,
-    covered_bytes: usize,
+    reserved_bytes: usize,
 }
 
 impl BodyMemory {
-    /// A bound of `total_bytes`.
+    /// Creates a limit of `total_bytes`.
     pub(crate) fn new(total_bytes: usize) -> Self {
-        let units = (total_bytes / UNIT_BYTES).min(Semaphore::MAX_PERMITS);
+        let units = (total_bytes / MEMORY_UNIT_BYTES).min(Semaphore::MAX_PERMITS);
         BodyMemory {
             units: Arc::new(Semaphore::new(units)),
         }
     }
 
-    /// A share that covers nothing yet.
+    /// Returns an empty share.
     pub(crate) fn share(&self) -> MemoryShare {
         MemoryShare {
             memory: self.clone(),
             permit: None,
-            covered_bytes: 0,
+            reserved_bytes: 0,
         }
     }
 }
 
 impl MemoryShare {
-    /// Enlarges the share to `bytes`; false when the memory is used up.
-    pub(crate) fn try_cover(&mut self, bytes: usize) -> bool {
-        if bytes <= self.covered_bytes {
+    /// Grows the share to `bytes`; false if the memory is used up.
+    pub(crate) fn try_grow(&mut self, bytes: usize) -> bool {
+        if bytes <= self.reserved_bytes {
             return true;
         }
-        let units = (bytes - self.covered_bytes).div_ceil(UNIT_BYTES);
+        let units = (bytes - self.reserved_bytes).div_ceil(MEMORY_UNIT_BYTES);
         let Ok(count) = u32::try_from(units) else {
             return false;
         };
-        let Ok(more) = Arc::clone(&self.memory.units).try_acquire_many_owned(count) else {
+        let Ok(additional) = Arc::clone(&self.memory.units).try_acquire_many_owned(count) else {
             return false;
         };
-        self.covered_bytes += units * UNIT_BYTES;
+        self.reserved_bytes += units * MEMORY_UNIT_BYTES;
         match self.permit.as_mut() {
-            Some(permit) => permit.merge(more),
-            None => self.permit = Some(more),
+            Some(permit) => permit.merge(additional),
+            None => self.permit = Some(additional),
         }
         true
     }
--- a/crates/beechsaddle/src/calls/whole_answer.rs
+++ b/crates/beechsaddle/src/calls/buffered_answer.rs
@@ -1,4 +1,4 @@
-//! The `whole_answer` module provides answers that are read whole before they are relayed.
+//! The `buffered_answer` module provides answers that are read completely before they are relayed.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use volo_http::body::Body;
 
-/// The usage as engines report it.
+/// Token usage in the engines' format.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub(crate) struct ReportedUsage {
     prompt_tokens: u64,
@@ -30,13 +30,13 @@
     usage: ReportedUsage,
 }
 
-/// Reads an answer of at most `limit` bytes.
+/// Reads a whole answer of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// `ConnectionLost` when it breaks off, `TimedOut` when nothing comes for `idle`, and `BadAnswer`
-/// when it is too long.
-pub(crate) async fn read_whole(
+/// `ConnectionLost` if it breaks off, `TimedOut` if nothing arrives for `idle`, and `BadAnswer` if
+/// it is too long.
+pub(crate) async fn read_buffered(
     mut body: Body,
     limit: usize,
     idle: Duration,
@@ -69,11 +69,11 @@
     })
 }
 
-/// Reads the usage of a whole chat answer.
+/// Reads the usage of a complete chat answer.
 ///
 /// # Errors
 ///
-/// `BadAnswer` when it has none: it could not be billed.
+/// `BadAnswer` if it has none, since it could not be billed.
 pub(crate) fn read_usage(answer: &[u8]) -> Result<TokenUsage, AttemptFailure> {
     let answer: ChatAnswer =
         serde_json::from_slice(answer).map_err(|_| AttemptFailure::BadAnswer)?;
--- a/crates/beechsaddle/src/calls/call_fault.rs
+++ b/crates/beechsaddle/src/calls/call_fault.rs
@@ -1,22 +1,22 @@
-//! The `call_fault` module provides what the edge finds wrong with a request by itself.
+//! The `call_fault` module provides requests that the edge refuses without the core.
 
 use std::borrow::Cow;
 
 use beechsaddle_core::prelude::*;
 
-/// A request that the edge refuses by itself, with a sentence for the caller.
+/// A refusal by the edge, with a message for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CallFault {
-    /// What is counted.
+    /// The refusal as it is counted and answered.
     pub(crate) refusal: CallRefusal,
-    /// What would be right.
+    /// Message that tells the caller what is expected.
     pub(crate) message: Cow<'static, str>,
-    /// Whether the rest of the connection cannot be used, since the body was not read.
+    /// Whether the connection has to close because the body was not read.
     pub(crate) closes: bool,
 }
 
 impl CallFault {
-    /// A request that did not run and never will in this form.
+    /// Creates a refusal of a request that did not run and cannot succeed in this form.
     pub(crate) fn new(reason: RefusalReason, message: impl Into<Cow<'static, str>>) -> Self {
         CallFault {
             refusal: CallRefusal::not_run(reason, None),
@@ -25,18 +25,18 @@
         }
     }
 
-    /// A request that cannot be understood.
+    /// Creates a refusal of a malformed request.
     pub(crate) fn bad_request(message: impl Into<Cow<'static, str>>) -> Self {
         CallFault::new(RefusalReason::BadRequest, message)
     }
 
-    /// The same, but coming back after `retry_after_ms` milliseconds helps.
+    /// Adds a `Retry-After` of `retry_after_ms` milliseconds.
     pub(crate) fn retry_after(mut self, retry_after_ms: u64) -> Self {
         self.refusal.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// The same, and the connection closes after the answer.
+    /// Closes the connection after the answer.
     pub(crate) fn closing(mut self) -> Self {
         self.closes = true;
         self
--- a/crates/beechsaddle/src/calls/call_guard.rs
+++ b/crates/beechsaddle/src/calls/call_guard.rs
@@ -1,4 +1,4 @@
-//! The `call_guard` module provides the promise that the core hears of every call's end.
+//! The `call_guard` module provides the guard that reports the end of every call to the core.
 
 use std::sync::Arc;
 
@@ -7,22 +7,22 @@
 
 use super::edge_state::EdgeState;
 
-/// What the core would have to hear if the caller hung up now.
+/// What the core has to be sent if the caller disconnects now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum GuardState {
-    /// Nothing: the core does not know of the call, or has heard of its end.
+    /// Nothing: the core does not know the call, or has been sent its end.
     Settled,
-    /// That the caller is gone.
+    /// That the caller disconnected.
     Waiting,
-    /// That the attempt was cancelled.
-    Trying(AttemptId),
+    /// That the running attempt was cancelled.
+    Attempting(AttemptId),
 }
 
-/// Tells the core of a call's end, whatever way it ends.
+/// Reports the end of a call to the core, however it ends.
 ///
-/// When a caller hangs up, the HTTP library drops the call's future or its answer's body wherever
-/// it stands. Without this guard the core would wait for such a call for ever, and its reservation
-/// would never come back. Dropping is the one thing that happens on every way out.
+/// When a caller disconnects, the HTTP library drops the call's future or the body of its answer at
+/// any point. Without this guard the core would wait for such a call forever, and its reservation
+/// would never be returned. Only `Drop` runs on every path.
 pub(crate) struct CallGuard {
     state: Arc<EdgeState>,
     call: CallId,
@@ -32,7 +32,7 @@
 }
 
 impl CallGuard {
-    /// Guards a call of which the core has not heard yet.
+    /// Guards a call that the core does not know yet.
     pub(crate) fn new(state: Arc<EdgeState>, call: CallId) -> Self {
         CallGuard {
             state,
@@ -43,40 +43,39 @@
         }
     }
 
-    /// The call.
     pub(crate) fn call(&self) -> &CallId {
         &self.call
     }
 
-    /// The edge that the call came to.
+    /// Shared state of the edge that received the call.
     pub(crate) fn state(&self) -> &Arc<EdgeState> {
         &self.state
     }
 
-    /// The core knows of the call, and no attempt is running.
+    /// Marks the call as known to the core, without a running attempt.
     pub(crate) fn wait(&mut self) {
         self.stage = GuardState::Waiting;
     }
 
-    /// An attempt is running.
+    /// Marks an attempt as running.
     pub(crate) fn start_attempt(&mut self, attempt: AttemptId) {
         self.last_attempt = Some(attempt.clone());
-        self.stage = GuardState::Trying(attempt);
+        self.stage = GuardState::Attempting(attempt);
     }
 
-    /// The core needs to hear nothing more.
+    /// Marks the call as ended for the core.
     pub(crate) fn settle(&mut self) {
         self.stage = GuardState::Settled;
     }
 
-    /// Notes what was used so far, for an answer that breaks off.
-    pub(crate) fn note_usage(&mut self, usage: TokenUsage) {
+    /// Records the usage so far, for an answer that breaks off.
+    pub(crate) fn record_usage(&mut self, usage: TokenUsage) {
         self.usage = usage;
     }
 
-    /// Tells the core that the running attempt's answer goes to the caller now.
-    pub(crate) fn tell_started(&self) {
-        if let GuardState::Trying(attempt) = &self.stage {
+    /// Reports that the running attempt's answer is being sent to the caller.
+    pub(crate) fn report_started(&self) {
+        if let GuardState::Attempting(attempt) = &self.stage {
             let attempt = attempt.clone();
             self.state
                 .ring
@@ -84,10 +83,10 @@
         }
     }
 
-    /// Tells the core how the running attempt's answer ended; does nothing without one.
+    /// Reports how the running attempt's answer ended; does nothing without an attempt.
     pub(crate) fn end_answer(&mut self, end: AnswerEnd) {
         let stage = std::mem::replace(&mut self.stage, GuardState::Settled);
-        if let GuardState::Trying(attempt) = stage {
+        if let GuardState::Attempting(attempt) = stage {
             self.state.ring.raise_call(CallEvent::AnswerEnded {
                 attempt,
                 end,
@@ -96,9 +95,9 @@
         }
     }
 
-    /// Tells the core how far the running attempt's answer has come; may be lost.
-    pub(crate) fn tell_progress(&self) {
-        if let GuardState::Trying(attempt) = &self.stage {
+    /// Reports the usage of the running attempt so far; may be lost.
+    pub(crate) fn report_progress(&self) {
+        if let GuardState::Attempting(attempt) = &self.stage {
             self.state
                 .ring
                 .try_raise(CoreEvent::Call(CallEvent::AnswerProgress {
@@ -119,7 +118,7 @@
                 let gone = CallEvent::CallerGone { call, last_attempt };
                 self.state.ring.raise_call(gone);
             }
-            GuardState::Trying(_) => self.end_answer(AnswerEnd::CallerGone),
+            GuardState::Attempting(_) => self.end_answer(AnswerEnd::CallerGone),
         }
         self.state.calls.close(&self.call);
     }
--- a/crates/beechsaddle/src/calls/call_head.rs
+++ b/crates/beechsaddle/src/calls/call_head.rs
@@ -1,4 +1,4 @@
-//! The `call_head` module provides what callers say in the headers of a call.
+//! The `call_head` module provides the headers of a call, parsed and validated.
 
 use std::fmt::Display;
 use std::str::FromStr;
@@ -13,12 +13,12 @@
 use super::header_filter::{BUDGET_HEADER, IDEMPOTENCY_HEADER, REPEATABLE_HEADER, TIMEOUT_HEADER};
 use crate::findings::{NAME_FORM, is_name};
 
-/// The longest `Idempotency-Key` in bytes.
-const KEY_TEXT_BYTES: usize = 128;
-/// The longest time that a caller may set, in milliseconds: a day.
-const LONGEST_TIMEOUT_MS: u64 = 86_400_000;
+/// Maximum length of an `Idempotency-Key` in bytes.
+const MAX_KEY_BYTES: usize = 128;
+/// Maximum time-out that a caller may set, in milliseconds: one day.
+const MAX_TIMEOUT_MS: u64 = 86_400_000;
 
-/// Headers that may come only once, since it would be open which of two values holds.
+/// Headers that may occur only once, since two values would be ambiguous.
 const SINGLE_HEADERS: [HeaderName; 5] = [
     AUTHORIZATION,
     IDEMPOTENCY_HEADER,
@@ -27,34 +27,32 @@
     TIMEOUT_HEADER,
 ];
 
-/// The headers of a call, read and checked.
+/// Parsed headers of a call.
 #[derive(Clone, Debug)]
 pub(crate) struct CallHead {
-    /// The digest of the caller's key.
+    /// Digest of the workspace key.
     pub(crate) key_digest: KeyDigest,
-    /// The budget to draw on.
+    /// The budget that the call draws on.
     pub(crate) budget: Option<BudgetName>,
-    /// The caller's idempotency key.
     pub(crate) idempotency: Option<KeyText>,
-    /// Whether the call may be repeated.
+    /// Whether the caller allows the call to be repeated.
     pub(crate) repeatable: Option<bool>,
-    /// When the caller gives up.
+    /// The caller's deadline.
     pub(crate) deadline: Option<ClockTime>,
 }
 
 impl CallHead {
-    /// Reads the headers of a call that arrived at `now`, and reports all that is wrong together.
+    /// Parses the headers of a call that arrived at `now`, and reports all errors together.
     ///
     /// # Errors
     ///
-    /// `bad_request` for headers that come twice or have an unreadable value, `unknown_key` when
-    /// there is no key.
+    /// `bad_request` for duplicate headers and invalid values, `unknown_key` if there is no key.
     pub(crate) fn try_read(headers: &HeaderMap, now: ClockTime) -> Result<Self, CallFault> {
         let mut findings = read_duplicates(headers);
-        let budget = keep(read_budget(headers), &mut findings);
-        let idempotency = keep(read_idempotency(headers), &mut findings);
-        let repeatable = keep(read_repeatable(headers), &mut findings);
-        let timeout_ms = keep(read_timeout(headers), &mut findings);
+        let budget = collect_finding(read_budget(headers), &mut findings);
+        let idempotency = collect_finding(read_idempotency(headers), &mut findings);
+        let repeatable = collect_finding(read_repeatable(headers), &mut findings);
+        let timeout_ms = collect_finding(read_timeout(headers), &mut findings);
         if repeatable == Some(false) && idempotency.is_none() {
             findings.push("a call that may not be repeated needs an Idempotency-Key".to_owned());
         }
@@ -71,7 +69,7 @@
     }
 }
 
-/// Reads the digest of the workspace key alone.
+/// Reads only the digest of the workspace key.
 pub(crate) fn read_key(headers: &HeaderMap) -> Result<KeyDigest, CallFault> {
     const MISSING: &str = "an Authorization header with a bearer key is needed";
     let missing = || CallFault::new(RefusalReason::UnknownKey, MISSING);
@@ -90,7 +88,7 @@
     Ok(KeyDigest(Sha256::digest(key.as_bytes()).into()))
 }
 
-fn keep<T>(read: Result<Option<T>, String>, findings: &mut Vec<String>) -> Option<T> {
+fn collect_finding<T>(read: Result<Option<T>, String>, findings: &mut Vec<String>) -> Option<T> {
     match read {
         Ok(value) => value,
         Err(finding) => {
@@ -130,7 +128,7 @@
 fn read_budget(headers: &HeaderMap) -> Result<Option<&str>, String> {
     let text = read_text(headers, &BUDGET_HEADER)?;
     match text {
-        // No budget can be declared under another name, so that nobody has to look it up.
+        // Budgets with another form of name cannot be declared, so no lookup is needed.
         Some(text) if !is_name(text) => Err(format!("{BUDGET_HEADER} must have {NAME_FORM}")),
         Some(_) | None => Ok(text),
     }
@@ -139,8 +137,8 @@
 fn read_idempotency(headers: &HeaderMap) -> Result<Option<&str>, String> {
     let text = read_text(headers, &IDEMPOTENCY_HEADER)?;
     match text {
-        Some(text) if text.is_empty() || text.len() > KEY_TEXT_BYTES => Err(format!(
-            "{IDEMPOTENCY_HEADER} must have 1 to {KEY_TEXT_BYTES} printable ASCII bytes"
+        Some(text) if text.is_empty() || text.len() > MAX_KEY_BYTES => Err(format!(
+            "{IDEMPOTENCY_HEADER} must have 1 to {MAX_KEY_BYTES} printable ASCII bytes"
         )),
         _ => Ok(text),
     }
@@ -160,9 +158,9 @@
         return Ok(None);
     };
     let timeout_ms: u64 = read_number(text, &TIMEOUT_HEADER)?;
-    if timeout_ms == 0 || timeout_ms > LONGEST_TIMEOUT_MS {
+    if timeout_ms == 0 || timeout_ms > MAX_TIMEOUT_MS {
         return Err(format!(
-            "{TIMEOUT_HEADER} must be from 1 to {LONGEST_TIMEOUT_MS}"
+            "{TIMEOUT_HEADER} must be from 1 to {MAX_TIMEOUT_MS}"
         ));
     }
     Ok(Some(timeout_ms))
--- a/crates/beechsaddle/src/calls/call_run.rs
+++ b/crates/beechsaddle/src/calls/call_run.rs
@@ -1,4 +1,4 @@
-//! The `call_run` module provides the life of one call, from its arrival to its answer.
+//! The `call_run` module provides one call from its arrival to its answer.
 
 use std::sync::Arc;
 
@@ -12,43 +12,42 @@
 use volo_http::response::Response;
 
 use super::answer_body::AnswerBody;
-use super::attempt::{AttemptOrder, CallContent};
+use super::attempt::{AttemptDispatch, CallContent};
 use super::body_memory::MemoryShare;
 use super::call_fault::CallFault;
 use super::call_guard::CallGuard;
-use super::connection_mark::ConnectionMark;
+use super::connection_tracker::ConnectionTracker;
 use super::ready_answer::{AnswerHead, ReadyAnswer};
 use super::refusal_answer::{fault_answer, refusal_answer};
 
-/// After how many milliseconds a caller may come back when the core's ring is full.
+/// Retry delay in milliseconds for callers refused because the core's ring is full.
 const RING_RETRY_MS: u64 = 1_000;
 
-/// One call that was read and checked.
+/// A call whose request has been read and checked.
 pub(crate) struct CallRun {
-    /// Tells the core of the call's end.
+    /// Reports the call's end to the core.
     pub(crate) guard: CallGuard,
-    /// What the core decides.
+    /// Decisions of the core for this call.
     pub(crate) actions: mpsc::Receiver<CallAction>,
-    /// What goes to the target.
+    /// The request for the target.
     pub(crate) content: CallContent,
-    /// The memory of the request's body, kept while the body may be sent again.
+    /// Memory of the request's body, held while the body may be sent again.
     pub(crate) share: MemoryShare,
-    /// The caller's connection.
-    pub(crate) mark: ConnectionMark,
+    pub(crate) tracker: ConnectionTracker,
 }
 
-/// How an attempt came out.
+/// Outcome of an attempt.
 enum AttemptOutcome {
-    /// There is an answer that may be relayed.
+    /// The target's answer may be relayed.
     Answered(ReadyAnswer),
-    /// There is none.
+    /// The attempt failed.
     Failed(AttemptFailure),
-    /// The core decided otherwise in the meantime, or closed the call.
-    Overruled(Option<CallAction>),
+    /// The core ended the attempt with another action, or closed the call.
+    Superseded(Option<CallAction>),
 }
 
 impl CallRun {
-    /// Hands the call to the core and carries out what it decides.
+    /// Hands the call to the core and carries out its decisions.
     pub(crate) async fn run(mut self, arrival: CallArrival) -> Response {
         let arrived = CoreEvent::Call(CallEvent::Arrived(Box::new(arrival)));
         if !self.guard.state().ring.try_raise(arrived) {
@@ -58,19 +57,19 @@
         self.guard.wait();
         loop {
             let action = self.actions.recv().await;
-            let order = match action.map(AttemptOrder::try_from) {
-                Some(Ok(order)) => order,
-                Some(Err(action)) => match self.overrule(Some(action)) {
+            let dispatch = match action.map(AttemptDispatch::try_from) {
+                Some(Ok(dispatch)) => dispatch,
+                Some(Err(action)) => match self.apply_action(Some(action)) {
                     Some(response) => return response,
                     None => continue,
                 },
-                None => return self.give_up(),
+                None => return self.end_unanswered(),
             };
-            match self.attempt(&order).await {
+            match self.attempt(&dispatch).await {
                 AttemptOutcome::Answered(answer) => return self.answer(answer).await,
-                AttemptOutcome::Failed(failure) => self.fail_attempt(order.attempt, failure),
-                AttemptOutcome::Overruled(action) => {
-                    if let Some(response) = self.overrule(action) {
+                AttemptOutcome::Failed(failure) => self.fail_attempt(dispatch.attempt, failure),
+                AttemptOutcome::Superseded(action) => {
+                    if let Some(response) = self.apply_action(action) {
                         return response;
                     }
                 }
@@ -78,16 +77,16 @@
         }
     }
 
-    async fn attempt(&mut self, order: &AttemptOrder) -> AttemptOutcome {
-        self.guard.start_attempt(order.attempt.clone());
+    async fn attempt(&mut self, dispatch: &AttemptDispatch) -> AttemptOutcome {
+        self.guard.start_attempt(dispatch.attempt.clone());
         let state = Arc::clone(self.guard.state());
         tokio::select! {
             biased;
-            result = ReadyAnswer::try_fetch(order, &self.content, &state) => match result {
+            result = ReadyAnswer::try_fetch(dispatch, &self.content, &state) => match result {
                 Ok(answer) => AttemptOutcome::Answered(answer),
                 Err(failure) => AttemptOutcome::Failed(failure),
             },
-            action = receive_final(&mut self.actions) => AttemptOutcome::Overruled(action),
+            action = receive_final(&mut self.actions) => AttemptOutcome::Superseded(action),
         }
     }
 
@@ -98,20 +97,20 @@
     }
 
     async fn answer(self, answer: ReadyAnswer) -> Response {
-        self.guard.tell_started();
+        self.guard.report_started();
         match answer {
-            ReadyAnswer::Whole { head, body, usage } => self.hold_answer(head, body, usage).await,
+            ReadyAnswer::Buffered { head, body, usage } => self.hold_back(head, body, usage).await,
             ReadyAnswer::Streamed { head, body, tail } => {
                 let call = self.guard.call().clone();
-                let body = AnswerBody::new(body, tail, self.guard, self.actions, self.mark);
+                let body = AnswerBody::new(body, tail, self.guard, self.actions, self.tracker);
                 head.with_body(Body::from_body(body), &call)
             }
         }
     }
 
-    /// Holds a whole answer back until the core says that its usage is safe.
-    async fn hold_answer(mut self, head: AnswerHead, body: Bytes, usage: TokenUsage) -> Response {
-        self.guard.note_usage(usage);
+    /// Holds a complete answer back until the core has recorded its usage.
+    async fn hold_back(mut self, head: AnswerHead, body: Bytes, usage: TokenUsage) -> Response {
+        self.guard.record_usage(usage);
         self.guard.end_answer(AnswerEnd::Complete);
         // The request's body is not sent again from here on.
         drop(self.share);
@@ -131,26 +130,26 @@
         }
     }
 
-    /// Carries out an action other than a dispatch; `None` when the call goes on.
-    fn overrule(&mut self, action: Option<CallAction>) -> Option<Response> {
+    /// Carries out an action other than a dispatch; returns `None` if the call continues.
+    fn apply_action(&mut self, action: Option<CallAction>) -> Option<Response> {
         match action {
             Some(CallAction::Refuse { refusal, .. }) => {
                 self.guard.settle();
                 Some(refusal_answer(&refusal, self.guard.call()))
             }
-            Some(CallAction::Abort { .. }) | None => Some(self.give_up()),
+            Some(CallAction::Abort { .. }) | None => Some(self.end_unanswered()),
             Some(_) => None,
         }
     }
 
     /// Ends the call without an answer, though an attempt may have run.
-    fn give_up(&mut self) -> Response {
+    fn end_unanswered(&mut self) -> Response {
         self.guard.end_answer(AnswerEnd::Truncated);
         unknown_outcome(self.guard.call())
     }
 }
 
-/// Waits for an action that ends a running attempt; `None` when the call was closed.
+/// Waits for an action that ends a running attempt; `None` if the call was closed.
 async fn receive_final(actions: &mut mpsc::Receiver<CallAction>) -> Option<CallAction> {
     loop {
         let action = actions.recv().await;
--- a/crates/beechsaddle/src/calls/call_service.rs
+++ b/crates/beechsaddle/src/calls/call_service.rs
@@ -1,4 +1,4 @@
-//! The `call_service` module provides what callers can ask of the router.
+//! The `call_service` module provides the HTTP service for callers.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -21,18 +21,18 @@
 use super::call_head::{CallHead, read_key};
 use super::call_run::CallRun;
 use super::chat_request::ChatRequest;
-use super::connection_mark::ConnectionMark;
+use super::connection_tracker::ConnectionTracker;
 use super::edge_state::{EdgeState, system_time};
 use super::plain_request::{PlainRequest, SERVICE_PREFIX, read_service_path};
 use super::refusal_answer::{fault_answer, refusal_answer};
 use super::request_body::RequestBody;
 
-/// After how many milliseconds a caller may come back; the balancer has found another router then.
+/// Retry delay in milliseconds while draining; the load balancer has chosen another router by then.
 const DRAIN_RETRY_MS: u64 = 1_000;
-/// How long the core may take to list models.
-const LIST_SPAN: Duration = Duration::from_secs(2);
+/// Time limit for the core to list the models.
+const LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answers callers.
+/// Serves calls, the list of models and `/healthz`.
 #[derive(Clone)]
 pub(crate) struct CallService {
     state: Arc<EdgeState>,
@@ -71,7 +71,6 @@
 }
 
 impl CallService {
-    /// A service over the shared state.
     pub(crate) fn new(state: Arc<EdgeState>) -> Self {
         CallService { state }
     }
@@ -85,11 +84,11 @@
         check_version(request.version())?;
         self.check_phase()?;
         match path {
-            "/v1/chat/completions" if method == Method::POST => self.take_chat(request).await,
+            "/v1/chat/completions" if method == Method::POST => self.handle_chat(request).await,
             "/v1/chat/completions" => Err(CallFault::bad_request("use POST")),
             "/v1/models" if method == Method::GET => self.list_models(&request).await,
             "/v1/models" => Err(CallFault::bad_request("use GET")),
-            path if path.starts_with(SERVICE_PREFIX) => self.take_plain(request).await,
+            path if path.starts_with(SERVICE_PREFIX) => self.handle_plain(request).await,
             _ => Err(CallFault::new(
                 RefusalReason::UnknownService,
                 "there is no such path",
@@ -113,13 +112,13 @@
         response
     }
 
-    async fn take_chat(&self, request: Request<Body>) -> Result<Response, CallFault> {
+    async fn handle_chat(&self, request: Request<Body>) -> Result<Response, CallFault> {
         let head = CallHead::try_read(request.headers(), system_time())?;
-        let mark = connection_mark(&request);
+        let tracker = connection_tracker(&request);
         let RequestBody { bytes, share } =
             RequestBody::try_read(request.into_body(), &self.state).await?;
         let mut chat = ChatRequest::try_read(&bytes)?;
-        // The request keeps a copy of its own; the call may run for minutes.
+        // The request holds its own copy; the call may run for minutes.
         drop(bytes);
         let (call, actions) = self.state.calls.open();
         let guard = CallGuard::new(Arc::clone(&self.state), call.clone());
@@ -145,15 +144,15 @@
                 idempotency: head.idempotency,
             },
             share,
-            mark,
+            tracker,
         };
         Ok(run.run(arrival).await)
     }
 
-    async fn take_plain(&self, request: Request<Body>) -> Result<Response, CallFault> {
+    async fn handle_plain(&self, request: Request<Body>) -> Result<Response, CallFault> {
         let head = CallHead::try_read(request.headers(), system_time())?;
         let (service, path) = read_service_path(request.uri())?;
-        let mark = connection_mark(&request);
+        let tracker = connection_tracker(&request);
         let (parts, body) = request.into_parts();
         let mut plain = PlainRequest::new(parts.method, path, &parts.headers);
         let RequestBody { bytes, share } = RequestBody::try_read(body, &self.state).await?;
@@ -177,7 +176,7 @@
             actions,
             content: CallContent::Plain(plain),
             share,
-            mark,
+            tracker,
         };
         Ok(run.run(arrival).await)
     }
@@ -192,7 +191,7 @@
         if !self.state.ring.try_raise(CoreEvent::Call(query)) {
             return Err(busy());
         }
-        match tokio::time::timeout(LIST_SPAN, actions.recv()).await {
+        match tokio::time::timeout(LIST_TIMEOUT, actions.recv()).await {
             Ok(Some(CallAction::Models { models, .. })) => Ok(models_answer(models)),
             Ok(Some(CallAction::Refuse { refusal, .. })) => {
                 Ok(refusal_answer(&refusal, guard.call()))
@@ -203,18 +202,18 @@
 }
 
 fn check_version(version: Version) -> Result<(), CallFault> {
-    // An answer of unknown length to HTTP/1.0 ends with the connection, so that one that broke
-    // off would look whole.
+    // To HTTP/1.0 an answer of unknown length ends with the connection, so a truncated answer would
+    // look complete.
     match version {
         Version::HTTP_11 => Ok(()),
         _ => Err(CallFault::bad_request("HTTP/1.1 is needed").closing()),
     }
 }
 
-fn connection_mark(request: &Request<Body>) -> ConnectionMark {
+fn connection_tracker(request: &Request<Body>) -> ConnectionTracker {
     request
         .extensions()
-        .get::<ConnectionMark>()
+        .get::<ConnectionTracker>()
         .cloned()
         .unwrap_or_default()
 }
--- a/crates/beechsaddle/src/calls/call_table.rs
+++ b/crates/beechsaddle/src/calls/call_table.rs
@@ -1,4 +1,4 @@
-//! The `call_table` module provides where the core's actions find the calls that they are for.
+//! The `call_table` module provides the routing of the core's actions to open calls.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,8 +9,8 @@
 use tokio::sync::mpsc;
 use tokio::sync::mpsc::error::TrySendError;
 
-/// Actions that may wait for one call. The core sends a call at most one action ahead of the
-/// event that it waits for, and an abort beside it.
+/// Capacity of a call's action ring. The core sends a call at most one action ahead of the event
+/// that it waits for, plus an abort.
 const CALL_RING_SLOTS: usize = 4;
 
 /// The open calls, each with a bounded ring for the core's actions.
@@ -21,7 +21,7 @@
 }
 
 impl CallTable {
-    /// An empty table of one life of a router.
+    /// Creates an empty table for one incarnation of a router.
     pub(crate) fn new(router: RouterIncarnation) -> Self {
         CallTable {
             router,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes a call in and gives it its id.
+    /// Opens a call under a new id.
     pub(crate) fn open(&self) -> (CallId, mpsc::Receiver<CallAction>) {
         let number = self.last_number.fetch_add(1, Ordering::Relaxed) + 1;
         let (sender, receiver) = mpsc::channel(CALL_RING_SLOTS);
@@ -42,16 +42,16 @@
         (call, receiver)
     }
 
-    /// Forgets a call.
+    /// Removes a call.
     pub(crate) fn close(&self, call: &CallId) {
         self.lock().remove(&call.number);
     }
 
-    /// Hands an action to its call without waiting. An action for a call that is gone is dropped:
-    /// the core has been told of its end.
+    /// Delivers an action to its call without waiting. An action for a closed call is dropped,
+    /// since the core has been sent its end.
     ///
-    /// A full ring means that the core and the edge disagree about the call. The call is closed,
-    /// so that it ends as broken, instead of missing an action and waiting for ever.
+    /// A full ring means that the core and the edge disagree about the call's state. The call is
+    /// closed, so that it ends as broken instead of missing an action and waiting forever.
     pub(crate) fn deliver(&self, call: &CallId, action: CallAction) {
         let sender = self.lock().get(&call.number).cloned();
         let Some(sender) = sender else {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Calls that are open.
+    /// Number of open calls.
     pub(crate) fn len(&self) -> usize {
         self.lock().len()
     }
--- a/crates/beechsaddle/src/calls/calls_edge.rs
+++ b/crates/beechsaddle/src/calls/calls_edge.rs
@@ -1,4 +1,4 @@
-//! The `calls_edge` module provides the start of the edge towards callers and targets.
+//! The `calls_edge` module provides the start of the edge for callers, operators and targets.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use super::call_table::CallTable;
 use super::calls_handle::CallsHandle;
 use super::calls_options::CallsOptions;
-use super::echo_book::EchoBook;
+use super::echo_table::EchoTable;
 use super::edge_phase::EdgePhase;
 use super::edge_state::EdgeState;
 use super::event_ring::EventRing;
@@ -26,28 +26,28 @@
 use super::query_table::QueryTable;
 use super::target_client::TargetClient;
 
-/// The largest number of open connections of operators.
-const ADMIN_CONNECTIONS: usize = 64;
-/// What the host buffers of an answer for a caller that reads slowly, in bytes: some seconds of a
-/// stream of tokens, and enough for tens of megabytes a second over a few milliseconds.
+/// Maximum number of open connections of operators.
+const MAX_ADMIN_CONNECTIONS: usize = 64;
+/// Send buffer in bytes of a caller's connection: some seconds of a token stream, and enough for
+/// tens of megabytes per second at a round-trip time of a few milliseconds.
 const SEND_BUFFER_BYTES: u32 = 256 * 1_024;
-/// Connections that may wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const ACCEPT_BACKLOG: u32 = 1_024;
 
-/// The edge towards callers, operators and targets. It has a runtime and threads of its own.
+/// The edge for callers, operators and targets, with its own runtime and threads.
 #[derive(Debug)]
 pub struct CallsEdge;
 
 impl CallsEdge {
-    /// Starts the edge of the router `me`. Its events go to `events`, the core's bounded ring; a
-    /// full ring refuses new calls and delays the ends of running ones.
+    /// Starts the edge of one incarnation of a router. Its events go to `events`, the core's
+    /// bounded ring; a full ring refuses new calls and delays the end events of running ones.
     ///
     /// # Errors
     ///
-    /// When an address cannot be bound, or the runtime or the client cannot be made.
+    /// If an address cannot be bound, or the runtime or the client cannot be created.
     pub fn try_start(
         options: CallsOptions,
-        me: RouterIncarnation,
+        own_incarnation: RouterIncarnation,
         events: Sender<CoreEvent>,
     ) -> Result<CallsHandle> {
         let runtime = try_build_runtime(&options)?;
@@ -59,10 +59,10 @@
         let call_limit = options.max_connections;
         let state = Arc::new(EdgeState {
             ring: EventRing::new(events, runtime.handle().clone()),
-            calls: CallTable::new(me),
+            calls: CallTable::new(own_incarnation),
             queries: QueryTable::default(),
             client: TargetClient::try_new(&options)?,
-            echoes: EchoBook::default(),
+            echoes: EchoTable::default(),
             body_memory: BodyMemory::new(options.body_memory_bytes),
             phase: watch::Sender::new(EdgePhase::Accepting),
             serving: AtomicBool::new(false),
@@ -76,12 +76,12 @@
             call_limit,
             EdgePhase::Refusing,
         ));
-        // Operators can watch the drain to its end.
+        // Stays open through the drain, so that operators can watch it.
         runtime.spawn(run_listener(
             admin_listener,
             AdminService::new(Arc::clone(&state)),
             Arc::clone(&state),
-            ADMIN_CONNECTIONS,
+            MAX_ADMIN_CONNECTIONS,
             EdgePhase::Closing,
         ));
         drop(entered);
@@ -100,17 +100,17 @@
         .thread_name("calls")
         .enable_all()
         .build()
-        .wrap_err("the runtime of the call edge cannot be made")
+        .wrap_err("cannot create the runtime of the call edge")
 }
 
 fn try_bind(address: SocketAddr) -> Result<TcpListener> {
-    open_listener(address).wrap_err_with(|| format!("{address} cannot be bound"))
+    open_listener(address).wrap_err_with(|| format!("cannot bind {address}"))
 }
 
 /// Opens a listener whose connections have send buffers of a fixed size.
 ///
-/// The host would let each grow to megabytes. A caller that stops reading should hold up its
-/// target instead of filling the host's memory for sockets, which all connections share.
+/// The host would let each grow to megabytes. A caller that stops reading must slow its target down
+/// instead of filling the host's socket memory, which all connections share.
 fn open_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
--- a/crates/beechsaddle/src/calls/calls_handle.rs
+++ b/crates/beechsaddle/src/calls/calls_handle.rs
@@ -1,4 +1,4 @@
-//! The `calls_handle` module provides the running call edge to the rest of the process.
+//! The `calls_handle` module provides the handle of the running call edge.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -12,24 +12,23 @@
 
 use super::edge_phase::EdgePhase;
 use super::edge_state::EdgeState;
-use super::probe::ProbeDesk;
+use super::probe::ProbeRunner;
 
-/// How often the end of the last connection is looked for.
-const STOP_POLL: Duration = Duration::from_millis(5);
-/// How long tasks may take to end once their connections are cut.
-const RUNTIME_END: Duration = Duration::from_millis(500);
+/// Interval at which the number of open connections is polled.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time limit for tasks to end once their connections are closed.
+const RUNTIME_SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The running call edge.
+/// Handle of the running call edge.
 pub struct CallsHandle {
     state: Arc<EdgeState>,
-    probes: ProbeDesk,
+    probes: ProbeRunner,
     runtime: Mutex<Option<Runtime>>,
     call_address: SocketAddr,
     admin_address: SocketAddr,
 }
 
 impl CallsHandle {
-    /// Wraps a started edge.
     pub(crate) fn new(
         state: Arc<EdgeState>,
         runtime: Runtime,
@@ -37,7 +36,7 @@
         admin_address: SocketAddr,
     ) -> Self {
         CallsHandle {
-            probes: ProbeDesk::new(Arc::clone(&state), runtime.handle().clone()),
+            probes: ProbeRunner::new(Arc::clone(&state), runtime.handle().clone()),
             state,
             runtime: Mutex::new(Some(runtime)),
             call_address,
@@ -45,11 +44,10 @@
         }
     }
 
-    /// Carries out an action of the core without waiting for anything; actions for other edges
-    /// are left alone.
+    /// Carries out an action of the core without waiting; ignores actions for other edges.
     ///
-    /// Each call has a bounded ring of its own for its actions, and probes and orders share a
-    /// bounded number of slots, so that nothing queues up here without bound.
+    /// Each call has its own bounded ring for actions, and probes and orders share a bounded number
+    /// of slots, so nothing queues up without a limit.
     pub fn send(&self, action: CoreAction) {
         match action {
             CoreAction::Call(action) => self.send_call(action),
@@ -71,43 +69,43 @@
         self.state.calls.deliver(&call, action);
     }
 
-    /// Tells the balancer, through `/healthz`, whether this router takes calls; false at first.
+    /// Sets whether `/healthz` reports this router as accepting calls; false initially.
     pub fn set_serving(&self, is_serving: bool) {
         self.state.serving.store(is_serving, Ordering::Relaxed);
     }
 
-    /// Where callers connect.
+    /// Local address of the callers' listener.
     pub fn call_address(&self) -> SocketAddr {
         self.call_address
     }
 
-    /// Where operators connect.
+    /// Local address of the operators' listener.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin_address
     }
 
-    /// Calls that are running.
+    /// Number of running calls.
     pub fn open_calls(&self) -> usize {
         self.state.calls.len()
     }
 
-    /// Connections of callers and operators that are open.
+    /// Number of open connections of callers and operators.
     pub fn open_connections(&self) -> usize {
         self.state.connections.load(Ordering::Relaxed)
     }
 
-    /// How often the core's event ring was found full.
+    /// How many events found the core's ring full.
     pub fn ring_full_count(&self) -> u64 {
         self.state.ring.full_count()
     }
 
-    /// Stops the edge: lets connections end on their own for at most `patience`, then cuts the
-    /// rest and returns how many those were. Must not be called from within a runtime.
-    pub fn stop(&self, patience: Duration) -> usize {
+    /// Stops the edge: waits up to `wait_limit` for connections to end, then closes the remaining
+    /// ones and returns their number. Must not be called from within a runtime.
+    pub fn stop(&self, wait_limit: Duration) -> usize {
         self.state.enter_phase(EdgePhase::Closing);
-        let deadline = Instant::now() + patience;
+        let deadline = Instant::now() + wait_limit;
         while self.open_connections() > 0 && Instant::now() < deadline {
-            thread::sleep(STOP_POLL);
+            thread::sleep(STOP_POLL_INTERVAL);
         }
         let cut = self.open_connections();
         let runtime = self
@@ -116,7 +114,7 @@
             .unwrap_or_else(PoisonError::into_inner)
             .take();
         if let Some(runtime) = runtime {
-            runtime.shutdown_timeout(RUNTIME_END);
+            runtime.shutdown_timeout(RUNTIME_SHUTDOWN_TIMEOUT);
         }
         cut
     }
--- a/crates/beechsaddle/src/calls/calls_options.rs
+++ b/crates/beechsaddle/src/calls/calls_options.rs
@@ -1,52 +1,52 @@
-//! The `calls_options` module provides the limits of the call edge.
+//! The `calls_options` module provides the addresses and limits of the call edge.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Addresses and limits of the call edge.
 #[derive(Clone, Debug)]
 pub struct CallsOptions {
-    /// Where callers connect; port 0 picks a free one.
+    /// Listen address for callers; port 0 picks a free port.
     pub call_address: SocketAddr,
-    /// Where operators connect; port 0 picks a free one.
+    /// Listen address for operators; port 0 picks a free port.
     pub admin_address: SocketAddr,
     /// Worker threads of the edge's runtime.
     pub worker_threads: usize,
-    /// The largest number of open connections of callers.
+    /// Maximum number of open connections of callers.
     pub max_connections: usize,
-    /// The largest request head in bytes, at least 8,192.
+    /// Maximum size of a request head in bytes, at least 8,192.
     pub head_bytes: usize,
-    /// The largest number of request headers.
+    /// Maximum number of request headers.
     pub max_headers: usize,
-    /// How long a request head may take from its first byte to its end, in milliseconds.
+    /// Time limit for a request head from its first byte to its end, in milliseconds.
     pub head_timeout_ms: u64,
-    /// How long a connection may wait for its next request, in milliseconds; longer than the
-    /// balancer keeps idle connections, so that the balancer closes first. A head that is begun in
-    /// time may still take `head_timeout_ms`.
+    /// Time limit for a connection to wait for its next request, in milliseconds; longer than the
+    /// load balancer's keep-alive time, so that the load balancer closes first. A head that begins
+    /// in time may still take `head_timeout_ms`.
     pub idle_timeout_ms: u64,
-    /// The largest request body in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// How long a request body may take in all, in milliseconds.
+    /// Time limit for a whole request body, in milliseconds.
     pub body_timeout_ms: u64,
-    /// What all request bodies together may take, in bytes.
+    /// Maximum memory of all request bodies together, in bytes.
     pub body_memory_bytes: usize,
-    /// How long a caller may take to accept the next bytes of its answer, in milliseconds.
+    /// Time limit for a caller to accept the next bytes of its answer, in milliseconds.
     pub write_stall_ms: u64,
-    /// How long a target may take to accept a connection, in milliseconds.
+    /// Time limit for connecting to a target, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// How long an idle connection to a target is kept, in milliseconds; shorter than the
-    /// keep-alive time of common model engines (5 s), so that the router closes first.
+    /// Keep-alive time of an idle connection to a target, in milliseconds; shorter than that of
+    /// common model engines (5 s), so that the router closes first.
     pub target_idle_ms: u64,
-    /// How long a target may pause within an answer, in milliseconds.
+    /// Maximum pause of a target within an answer, in milliseconds.
     pub answer_idle_ms: u64,
-    /// The largest answer that is read whole before it is relayed, in bytes.
+    /// Maximum size in bytes of an answer that is buffered before it is relayed.
     pub answer_bytes: usize,
-    /// Answers of plain services up to this many bytes are read whole before they are relayed, so
-    /// that a broken one can still be tried again.
+    /// Answers of plain services up to this many bytes are buffered before they are relayed, so
+    /// that the call can still be retried if the answer breaks off.
     pub plain_whole_bytes: usize,
-    /// How long a probe or an order may take, in milliseconds.
+    /// Time limit for a probe or an order, in milliseconds.
     pub probe_timeout_ms: u64,
     /// How long idle connections stay open after the edge stopped accepting, in milliseconds, so
-    /// that a call in flight on one of them still gets its refusal.
+    /// that a call in flight on one of them still receives its refusal.
     pub drain_grace_ms: u64,
 }
 
--- a/crates/beechsaddle/src/calls/chat_message.rs
+++ b/crates/beechsaddle/src/calls/chat_message.rs
@@ -6,7 +6,7 @@
 use super::call_fault::CallFault;
 use super::json_members::{JsonMembers, JsonText};
 
-/// Tokens that a chat template may add to each message, as an upper bound of the common ones.
+/// Upper bound of the tokens that common chat templates add to each message.
 pub(crate) const MESSAGE_TEMPLATE_TOKENS: u64 = 16;
 
 /// The prompt of a chat request.
@@ -14,7 +14,7 @@
 pub(crate) struct ChatPrompt {
     /// `role\ncontent\n` of all messages.
     pub(crate) text: String,
-    /// An upper bound of its tokens, with what the messages hold beside role and content.
+    /// Upper bound of its tokens, including members of the messages other than role and content.
     pub(crate) token_bound: u64,
 }
 
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     ///
-    /// `bad_request` for what is not a list of messages with text content.
+    /// `bad_request` unless it is a list of messages with text content.
     pub(crate) fn try_read(messages: &RawValue) -> Result<Self, CallFault> {
         let messages: Vec<&RawValue> = serde_json::from_str(messages.get())
             .map_err(|error| CallFault::bad_request(format!("messages must be a list: {error}")))?;
@@ -95,8 +95,8 @@
         let parts: Vec<ContentPart<'_>> =
             serde_json::from_str(source).map_err(|error| format!("content: {error}"))?;
         for part in parts {
-            // Images and sounds cost tokens that have nothing to do with their bytes here, so
-            // that no bound could be reserved for them.
+            // The token cost of images and audio is unrelated to their size in bytes, so no upper
+            // bound could be reserved for them.
             match (part.kind.0.as_ref(), part.text) {
                 ("text", Some(text)) => self.text.push_str(&text.0),
                 (kind, _) => return Err(format!("content parts of type {kind} are not served")),
--- a/crates/beechsaddle/src/calls/chat_request.rs
+++ b/crates/beechsaddle/src/calls/chat_request.rs
@@ -1,4 +1,4 @@
-//! The `chat_request` module provides chat requests, read from callers and written to engines.
+//! The `chat_request` module provides chat requests, parsed from callers and written to engines.
 
 use beechsaddle_core::hash::{PREFIX_BLOCK_BYTES, prefix_chain};
 use beechsaddle_core::prelude::*;
@@ -11,19 +11,19 @@
 use super::chat_message::ChatPrompt;
 use super::json_members::{JsonMembers, JsonText};
 
-/// Tokens that a chat template may add to the whole prompt.
+/// Upper bound of the tokens that a chat template adds to the whole prompt.
 const PROMPT_TEMPLATE_TOKENS: u64 = 64;
-/// The customary estimate of the bytes that one token of a prompt stands for.
+/// Customary estimate of prompt bytes per token.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Prefix blocks that are hashed at most: affinity beyond 64 KiB of prompt gains nothing.
-const PREFIX_BLOCKS: usize = 256;
-/// The longest model name in bytes.
-const MODEL_BYTES: usize = 256;
-/// Room for the members that are set anew.
-const ADDED_BYTES: usize = 96;
-
-/// Members that would make an engine spend more than the bound that is reserved, or more than one
-/// answer; only their neutral value is taken.
+/// Maximum number of prefix blocks hashed: affinity gains nothing beyond 64 KiB of prompt.
+const MAX_PREFIX_BLOCKS: usize = 256;
+/// Maximum length of a model name in bytes.
+const MAX_MODEL_BYTES: usize = 256;
+/// Capacity in bytes for the members that the router adds.
+const ADDED_MEMBER_BYTES: usize = 96;
+
+/// Members that would make an engine use more tokens than the reserved bound, or return more than
+/// one answer; only their neutral value is accepted.
 const UNBOUNDED_MEMBERS: [(&str, &str); 8] = [
     ("audio", "null"),
     ("best_of", "1"),
@@ -35,25 +35,25 @@
     ("use_beam_search", "false"),
 ];
 
-/// A chat request that was checked for form.
+/// A validated chat request.
 #[derive(Debug)]
 pub(crate) struct ChatRequest {
-    /// The model asked for.
     pub(crate) model: ModelName,
     /// Whether the answer is to be streamed.
     pub(crate) stream: bool,
-    /// Whether the caller asked for the usage at the end of a stream.
+    /// Whether the caller requested the usage at the end of a stream.
     pub(crate) include_usage: bool,
-    /// The largest number of tokens to generate, if the caller said so.
+    /// Maximum number of tokens to generate, if the caller set one.
     pub(crate) output_bound: Option<u64>,
-    /// An upper bound of the prompt's tokens.
+    /// Upper bound of the prompt's tokens.
     pub(crate) input_bound: u64,
-    /// About how many tokens the prompt has, for answers that break off before the engine says.
+    /// Estimate of the prompt's tokens, for answers that break off before the engine reports the
+    /// usage.
     pub(crate) input_estimate: u64,
     /// Hashes of the prompt's leading blocks.
     pub(crate) prefix: Vec<u64>,
     /// The body without the members that the router sets, and without its closing brace.
-    kept: Bytes,
+    forwarded_members: Bytes,
 }
 
 #[derive(Deserialize)]
@@ -74,15 +74,15 @@
 }
 
 impl ChatRequest {
-    /// Reads the body of a chat request.
+    /// Parses the body of a chat request.
     ///
     /// # Errors
     ///
-    /// `bad_request` with what would be right.
+    /// `bad_request` with a message that tells what is expected.
     pub(crate) fn try_read(body: &[u8]) -> Result<Self, CallFault> {
         let text = std::str::from_utf8(body).map_err(|error| {
-            let place = error.valid_up_to();
-            CallFault::bad_request(format!("the body is not UTF-8 at byte {place}"))
+            let offset = error.valid_up_to();
+            CallFault::bad_request(format!("the body is not UTF-8 at byte {offset}"))
         })?;
         let members: JsonMembers<'_> = serde_json::from_str(text).map_err(|error| {
             CallFault::bad_request(format!("the body must be a JSON object: {error}"))
@@ -96,7 +96,10 @@
             None => return Err(CallFault::bad_request("messages is missing")),
         };
         let options: Option<StreamOptions> = read_value(known.stream_options, "stream_options")?;
-        let prefix_end = prompt.text.len().min(PREFIX_BLOCKS * PREFIX_BLOCK_BYTES);
+        let prefix_end = prompt
+            .text
+            .len()
+            .min(MAX_PREFIX_BLOCKS * PREFIX_BLOCK_BYTES);
         Ok(ChatRequest {
             model: read_model(known.model)?,
             stream: read_value(known.stream, "stream")?.unwrap_or(false),
@@ -107,15 +110,15 @@
             input_estimate: (prompt.text.len() as u64).div_ceil(BYTES_PER_TOKEN),
             input_bound: prompt.token_bound + PROMPT_TEMPLATE_TOKENS + known.other_bytes,
             prefix: prefix_chain(&prompt.text.as_bytes()[..prefix_end]),
-            kept: keep_members(&members, text.len()),
+            forwarded_members: copy_forwarded_members(&members, text.len()),
         })
     }
 
-    /// Writes the body for an engine: `max_tokens` is what was reserved, and a stream ends with
-    /// its usage, by which it is billed.
+    /// Writes the body for an engine: `max_tokens` is the reserved bound, and a stream ends with
+    /// its usage, which is billed.
     pub(crate) fn write_body(&self, output_limit: Option<u64>) -> Bytes {
-        let mut body = BytesMut::with_capacity(self.kept.len() + ADDED_BYTES);
-        body.put_slice(&self.kept);
+        let mut body = BytesMut::with_capacity(self.forwarded_members.len() + ADDED_MEMBER_BYTES);
+        body.put_slice(&self.forwarded_members);
         if let Some(limit) = output_limit.or(self.output_bound) {
             body.put_slice(format!(",\"max_tokens\":{limit}").as_bytes());
         }
@@ -146,7 +149,7 @@
     Ok(known)
 }
 
-/// Tools, schemas and the like go into the prompt; numbers and switches do not.
+/// Tools, schemas and strings become part of the prompt; numbers and booleans do not.
 fn prompt_bytes(value: &RawValue) -> u64 {
     match value.get().as_bytes().first() {
         Some(b'{' | b'[' | b'"') => value.get().len() as u64,
@@ -179,8 +182,8 @@
     let value = value.ok_or_else(|| CallFault::bad_request("model is missing"))?;
     let name: JsonText<'_> = serde_json::from_str(value.get())
         .map_err(|_| CallFault::bad_request("model must be text"))?;
-    if name.0.is_empty() || name.0.len() > MODEL_BYTES {
-        let message = format!("model must have 1 to {MODEL_BYTES} bytes");
+    if name.0.is_empty() || name.0.len() > MAX_MODEL_BYTES {
+        let message = format!("model must have 1 to {MAX_MODEL_BYTES} bytes");
         return Err(CallFault::bad_request(message));
     }
     Ok(ModelName::new(&name.0))
@@ -202,23 +205,24 @@
     Ok(bound)
 }
 
-fn keep_members(members: &JsonMembers<'_>, length: usize) -> Bytes {
-    let mut kept = BytesMut::with_capacity(length);
+fn copy_forwarded_members(members: &JsonMembers<'_>, length: usize) -> Bytes {
+    let mut forwarded_members = BytesMut::with_capacity(length);
     let mut separator = b'{';
     for (name, value) in &members.0 {
-        let is_set_anew = matches!(
+        let is_set_by_router = matches!(
             name.as_ref(),
             "max_tokens" | "max_completion_tokens" | "stream_options"
         );
-        if is_set_anew {
+        if is_set_by_router {
             continue;
         }
-        kept.put_u8(separator);
+        forwarded_members.put_u8(separator);
         separator = b',';
-        // Writing a string as JSON cannot fail; a name that could not be written would be left out.
-        kept.put_slice(&serde_json::to_vec(name.as_ref()).unwrap_or_default());
-        kept.put_u8(b':');
-        kept.put_slice(value.get().as_bytes());
+        // Encoding a string as JSON cannot fail; a name that could not be encoded would be left
+        // out.
+        forwarded_members.put_slice(&serde_json::to_vec(name.as_ref()).unwrap_or_default());
+        forwarded_members.put_u8(b':');
+        forwarded_members.put_slice(value.get().as_bytes());
     }
-    kept.freeze()
+    forwarded_members.freeze()
 }
--- a/crates/beechsaddle/src/calls/connection.rs
+++ b/crates/beechsaddle/src/calls/connection.rs
@@ -1,8 +1,9 @@
-//! The `connection` module provides the serving of one connection.
+//! The `connection` module provides the server side of one HTTP connection.
 //!
-//! The library's own server loop has no time limit on request heads, no limit on connections, and
-//! ends 30 s after a signal whatever is still running. So the loop is the edge's, over the HTTP
-//! connection that the library itself uses; services, requests and answers are the library's.
+//! The library's own server loop has no time limit for request heads and no limit on connections,
+//! and it stops 30 s after a signal even if calls are running. The edge therefore runs its own loop
+//! over the HTTP connection that the library uses; services, requests and answers are the
+//! library's.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -25,20 +26,20 @@
 use volo_http::response::Response;
 
 use super::call_fault::CallFault;
-use super::connection_mark::ConnectionMark;
+use super::connection_tracker::ConnectionTracker;
 use super::edge_phase::EdgePhase;
 use super::edge_state::EdgeState;
 use super::guarded_stream::GuardedStream;
-use super::marked_body::MarkedBody;
+use super::tracked_body::TrackedBody;
 
 /// The library panics below this limit.
-const SMALLEST_HEAD_BYTES: usize = 8_192;
-/// How long to wait for a peer to take the last answer and close.
-const LINGER_SPAN: Duration = Duration::from_secs(2);
-/// What is read from a peer that goes on sending after the last answer, in bytes: a few times the
-/// largest body that is taken, so that a caller just beyond it still sees why it is refused.
-const LINGER_BYTES: usize = 16 * 1_024 * 1_024;
-/// What is read at a time while lingering, in bytes.
+const MIN_HEAD_BYTES: usize = 8_192;
+/// Time limit for a peer to read the last answer and close.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of bytes read from a peer that keeps sending after the last answer: a few times
+/// the largest accepted body, so that a caller just above that limit still receives the refusal.
+const MAX_LINGER_BYTES: usize = 16 * 1_024 * 1_024;
+/// Read size while lingering, in bytes.
 const LINGER_BUFFER_BYTES: usize = 16 * 1_024;
 
 /// Serves one connection to its end.
@@ -53,27 +54,27 @@
         + Send
         + Sync,
 {
-    let mark = ConnectionMark::default();
-    let head_span = Duration::from_millis(state.options.head_timeout_ms);
-    let idle_span = Duration::from_millis(state.options.idle_timeout_ms);
+    let tracker = ConnectionTracker::default();
+    let head_timeout = Duration::from_millis(state.options.head_timeout_ms);
+    let idle_timeout = Duration::from_millis(state.options.idle_timeout_ms);
     let write_stall = Duration::from_millis(state.options.write_stall_ms);
-    let stream = GuardedStream::new(stream, mark.clone(), head_span, write_stall);
+    let stream = GuardedStream::new(stream, tracker.clone(), head_timeout, write_stall);
     let hyper_service = service_fn(|request: Request<Incoming>| {
         let service = service.clone();
-        let mark = mark.clone();
+        let tracker = tracker.clone();
         Box::pin(async move {
-            mark.start_request();
+            tracker.start_request();
             let mut request = request.map(Body::from_incoming);
-            request.extensions_mut().insert(mark.clone());
+            request.extensions_mut().insert(tracker.clone());
             let mut context = ServerContext::new(Address::Ip(peer));
             let response = service.call(&mut context, request).await;
-            response.map(|response| response.map(|body| MarkedBody::new(body, mark)))
+            response.map(|response| response.map(|body| TrackedBody::new(body, tracker)))
         })
     });
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(idle_span + head_span)
-        .max_buf_size(state.options.head_bytes.max(SMALLEST_HEAD_BYTES))
+        .header_read_timeout(idle_timeout + head_timeout)
+        .max_buf_size(state.options.head_bytes.max(MIN_HEAD_BYTES))
         .max_headers(state.options.max_headers)
         .serve_connection(TokioIo::new(stream), hyper_service);
     let mut closing = pin!(wait_for_closing(&state));
@@ -92,7 +93,7 @@
     if let Err(error) = ended {
         count_unreadable(&error, &state);
     }
-    if !mark.is_broken() {
+    if !tracker.is_broken() {
         linger(connection.into_parts().io.into_inner()).await;
     }
 }
@@ -101,14 +102,14 @@
 async fn wait_for_closing(state: &EdgeState) {
     let mut phase = state.phase.subscribe();
     let _ = phase.wait_for(|phase| *phase >= EdgePhase::Refusing).await;
-    // A call may be on its way on an idle connection. Closing now would leave its caller without
-    // an answer; in this grace it gets a refusal.
+    // A call may be in flight on an idle connection. Closing now would leave its caller without an
+    // answer; during the grace period it receives a refusal.
     let grace = Duration::from_millis(state.options.drain_grace_ms);
     let closing = phase.wait_for(|phase| *phase >= EdgePhase::Closing);
     let _ = tokio::time::timeout(grace, closing).await;
 }
 
-/// Has a head counted that the library refused with a bare 4xx.
+/// Counts a request head that the library rejected with a bare 4xx.
 fn count_unreadable(error: &hyper::Error, state: &EdgeState) {
     if error.is_parse() || error.is_parse_too_large() {
         state.count_fault(&CallFault::new(
@@ -120,16 +121,17 @@
 
 /// Closes a connection so that the peer can read the last answer.
 ///
-/// Closing while the peer's bytes are unread makes the host send a reset, which can destroy an
+/// If unread bytes of the peer remain, closing makes the host send a reset, which can destroy an
 /// answer that the peer has not read yet: a caller whose body is too large would see a broken
-/// connection instead of its 413. So the rest is read, within bounds, until the peer closes.
+/// connection instead of its 413. The remaining bytes are therefore read, within limits, until the
+/// peer closes.
 async fn linger(mut stream: GuardedStream) {
     if stream.shutdown().await.is_err() {
         return;
     }
     // On the heap: in the future it would be part of every connection's task from its start.
     let mut buffer = vec![0_u8; LINGER_BUFFER_BYTES];
-    let mut left = LINGER_BYTES;
+    let mut left = MAX_LINGER_BYTES;
     let reading = async {
         while left > 0 {
             match stream.read(&mut buffer).await {
@@ -138,5 +140,5 @@
             }
         }
     };
-    let _ = tokio::time::timeout(LINGER_SPAN, reading).await;
+    let _ = tokio::time::timeout(LINGER_TIMEOUT, reading).await;
 }
--- a/crates/beechsaddle/src/calls/connection_mark.rs
+++ b/crates/beechsaddle/src/calls/connection_tracker.rs
@@ -1,24 +1,25 @@
-//! The `connection_mark` module provides what a connection and the requests on it tell each other.
+//! The `connection_tracker` module provides state shared by a connection and the requests on it.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// Shared by a connection and the requests on it.
+/// State shared by a connection and the requests on it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ConnectionMark {
-    inner: Arc<MarkInner>,
+pub(crate) struct ConnectionTracker {
+    inner: Arc<TrackerState>,
 }
 
 #[derive(Debug, Default)]
-struct MarkInner {
+struct TrackerState {
     is_broken: AtomicBool,
     started: AtomicU64,
     ended: AtomicU64,
 }
 
-impl ConnectionMark {
-    /// Has the connection end in a reset, so that no caller takes a broken answer for a whole one.
-    pub(crate) fn break_off(&self) {
+impl ConnectionTracker {
+    /// Makes the connection end in a reset, so that the caller cannot take a truncated answer for a
+    /// complete one.
+    pub(crate) fn mark_broken(&self) {
         self.inner.is_broken.store(true, Ordering::Release);
     }
 
@@ -27,17 +28,17 @@
         self.inner.is_broken.load(Ordering::Acquire)
     }
 
-    /// A request's head was read.
+    /// Records that the head of a request was read.
     pub(crate) fn start_request(&self) {
         self.inner.started.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// The answer to the running request has gone out.
+    /// Records that the answer to the running request was sent.
     pub(crate) fn end_request(&self) {
         self.inner.ended.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// How many requests came before the one that is awaited; `None` while one is running.
+    /// Number of requests before the awaited one; `None` while one is running.
     pub(crate) fn awaited_request(&self) -> Option<u64> {
         let started = self.inner.started.load(Ordering::Acquire);
         let ended = self.inner.ended.load(Ordering::Acquire);
--- a/crates/beechsaddle/src/calls/edge_phase.rs
+++ b/crates/beechsaddle/src/calls/edge_phase.rs
@@ -1,9 +1,9 @@
-//! The `edge_phase` module provides how far the edge has come in shutting down.
+//! The `edge_phase` module provides the phases of the edge's shutdown.
 
-/// How far the edge has come in shutting down; phases only go forward.
+/// Phase of the edge's shutdown; phases only advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum EdgePhase {
-    /// Connections and calls are taken.
+    /// Connections and calls are accepted.
     Accepting,
     /// The listener is closed; calls on open connections are refused.
     Refusing,
--- a/crates/beechsaddle/src/calls/edge_state.rs
+++ b/crates/beechsaddle/src/calls/edge_state.rs
@@ -1,4 +1,4 @@
-//! The `edge_state` module provides what all parts of the edge share.
+//! The `edge_state` module provides the state shared by all parts of the call edge.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
@@ -10,49 +10,46 @@
 use super::call_fault::CallFault;
 use super::call_table::CallTable;
 use super::calls_options::CallsOptions;
-use super::echo_book::EchoBook;
+use super::echo_table::EchoTable;
 use super::edge_phase::EdgePhase;
 use super::event_ring::EventRing;
 use super::query_table::QueryTable;
 use super::target_client::TargetClient;
 use crate::router::ClockSource;
 
-/// What all parts of the edge share.
+/// State shared by all parts of the call edge.
 pub(crate) struct EdgeState {
-    /// Addresses and limits.
     pub(crate) options: CallsOptions,
-    /// The way to the core.
+    /// Sends events to the core.
     pub(crate) ring: EventRing,
-    /// The open calls.
     pub(crate) calls: CallTable,
-    /// The open status queries.
     pub(crate) queries: QueryTable,
-    /// The way to targets.
+    /// Sends requests to targets.
     pub(crate) client: TargetClient,
-    /// Which targets echo attempts.
-    pub(crate) echoes: EchoBook,
-    /// The bound on request bodies.
+    /// Targets that echo attempt ids.
+    pub(crate) echoes: EchoTable,
+    /// Limit on the memory of all request bodies.
     pub(crate) body_memory: BodyMemory,
-    /// How far shutting down has come.
+    /// Phase of the shutdown.
     pub(crate) phase: watch::Sender<EdgePhase>,
-    /// Whether the balancer may send calls here, as told by the core's thread.
+    /// Whether the core's thread reports this router as accepting calls.
     pub(crate) serving: AtomicBool,
-    /// Open connections of callers and operators.
+    /// Number of open connections of callers and operators.
     pub(crate) connections: AtomicUsize,
 }
 
 impl EdgeState {
-    /// Whether new calls are taken.
+    /// Whether new calls are accepted.
     pub(crate) fn is_accepting(&self) -> bool {
         *self.phase.borrow() == EdgePhase::Accepting
     }
 
-    /// Whether the balancer may send calls here.
+    /// Whether `/healthz` tells the load balancer to send calls to this router.
     pub(crate) fn is_serving(&self) -> bool {
         self.is_accepting() && self.serving.load(Ordering::Relaxed)
     }
 
-    /// Moves on to a later phase; an earlier one changes nothing.
+    /// Advances to a later phase; does nothing for an earlier one.
     pub(crate) fn enter_phase(&self, phase: EdgePhase) {
         self.phase.send_if_modified(|current| {
             let is_later = phase > *current;
@@ -63,7 +60,7 @@
         });
     }
 
-    /// Has a refusal of the edge counted.
+    /// Reports a refusal by the edge to the core, which counts it.
     pub(crate) fn count_fault(&self, fault: &CallFault) {
         let refusal = fault.refusal.clone();
         self.ring
@@ -71,7 +68,7 @@
     }
 }
 
-/// The time that the core goes by.
+/// The core's time.
 pub(crate) fn system_time() -> ClockTime {
     ClockSource::of_process().now()
 }
--- a/crates/beechsaddle/src/calls/event_ring.rs
+++ b/crates/beechsaddle/src/calls/event_ring.rs
@@ -1,4 +1,4 @@
-//! The `event_ring` module provides the way of the edge's events to the core.
+//! The `event_ring` module provides the sending of events to the core.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,10 +9,10 @@
 use crossbeam_channel::{Sender, TrySendError};
 use tokio::runtime::Handle;
 
-/// How long to wait before trying a full ring again.
-const FULL_RING_PAUSE: Duration = Duration::from_millis(2);
+/// Delay before a full ring is tried again.
+const FULL_RING_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// The sending end of the core's bounded event ring.
+/// Sending end of the core's bounded event ring.
 #[derive(Clone)]
 pub(crate) struct EventRing {
     sender: Sender<CoreEvent>,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Raises an event that may be lost; false when the ring is full or the core is gone.
+    /// Sends an event that may be lost; false if the ring is full or the core has ended.
     pub(crate) fn try_raise(&self, event: impl Into<CoreEvent>) -> bool {
         match self.sender.try_send(event.into()) {
             Ok(()) => true,
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Raises an event that must not be lost, such as the end of an answer.
+    /// Sends an event that must not be lost, such as the end of an answer.
     ///
-    /// Without it a call whose end is dropped would hold its reservation for ever. When the ring
-    /// is full a task tries again until there is room; a call has at most two such events on its
-    /// way, a failed attempt and the caller's hang-up, so that these tasks are bounded by the open
-    /// calls. The two may change places.
+    /// A call whose end event was dropped would hold its reservation forever. If the ring is full,
+    /// a task retries until there is room. A call has at most two such events pending, a failed
+    /// attempt and the caller's disconnect, so the number of these tasks is bounded by the open
+    /// calls. The two may arrive in either order.
     pub(crate) fn raise(&self, event: impl Into<CoreEvent>) {
         let event = match self.sender.try_send(event.into()) {
             Ok(()) | Err(TrySendError::Disconnected(_)) => return,
@@ -55,24 +55,24 @@
         };
         self.full.fetch_add(1, Ordering::Relaxed);
         let sender = self.sender.clone();
-        self.runtime.spawn(send_later(sender, event));
+        self.runtime.spawn(retry_send(sender, event));
     }
 
-    /// How often the ring was found full.
+    /// How many events found the ring full.
     pub(crate) fn full_count(&self) -> u64 {
         self.full.load(Ordering::Relaxed)
     }
 
-    /// Raises an event about a call that must not be lost.
+    /// Sends an event about a call that must not be lost.
     pub(crate) fn raise_call(&self, event: CallEvent) {
         self.raise(CoreEvent::Call(event));
     }
 }
 
-async fn send_later(sender: Sender<CoreEvent>, event: CoreEvent) {
+async fn retry_send(sender: Sender<CoreEvent>, event: CoreEvent) {
     let mut event = event;
     loop {
-        tokio::time::sleep(FULL_RING_PAUSE).await;
+        tokio::time::sleep(FULL_RING_RETRY_DELAY).await;
         match sender.try_send(event) {
             Ok(()) | Err(TrySendError::Disconnected(_)) => return,
             Err(TrySendError::Full(returned)) => event = returned,
--- a/crates/beechsaddle/src/calls/event_scanner.rs
+++ b/crates/beechsaddle/src/calls/event_scanner.rs
@@ -1,4 +1,4 @@
-//! The `event_scanner` module provides the reading of a streamed chat answer as it passes.
+//! The `event_scanner` module provides the scanning of a streamed chat answer while it is relayed.
 
 use beechsaddle_core::call::TokenUsage;
 use bytes::{Bytes, BytesMut};
@@ -6,17 +6,17 @@
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 
-use super::whole_answer::ReportedUsage;
+use super::buffered_answer::ReportedUsage;
 
-/// The longest event that is waited for, in bytes.
-const EVENT_BYTES: usize = 256 * 1_024;
-/// The payload of the last event.
+/// Maximum size of a buffered event in bytes.
+const MAX_EVENT_BYTES: usize = 256 * 1_024;
+/// Payload of the event that ends a stream.
 const DONE_PAYLOAD: &[u8] = b"[DONE]";
 
 /// Scans a stream of server-sent events without parsing them, except for the one with the usage.
 ///
-/// Whole events pass on as slices of what was read. The events that make the answer whole, from
-/// the usage on, are held back: once the caller has them the call must be billed for certain.
+/// Complete events are forwarded as slices of the data that was read. The events that complete the
+/// answer, from the usage on, are held back: a caller that has them must be billed.
 pub(crate) struct EventScanner {
     include_usage: bool,
     carry: BytesMut,
@@ -26,18 +26,18 @@
     is_done: bool,
 }
 
-/// What an event means for the answer.
+/// Meaning of an event for the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EventKind {
     /// Goes to the caller; `tokens` were counted in it.
     Chunk { tokens: u64 },
-    /// Carries only the usage.
+    /// Contains only the usage.
     Usage,
     /// Ends the answer.
     Done,
 }
 
-/// An event that does not end.
+/// An event longer than the buffer for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EventTooLong;
 
@@ -49,8 +49,8 @@
 }
 
 impl EventScanner {
-    /// A scanner at the start of an answer; `include_usage` says whether the caller wants to see
-    /// the event with the usage, and `input_estimate` counts for the prompt until the engine says.
+    /// Creates a scanner for the start of an answer. With `include_usage` the caller receives the
+    /// event with the usage; `input_estimate` is the prompt's usage until the engine reports it.
     pub(crate) fn new(include_usage: bool, input_estimate: u64) -> Self {
         EventScanner {
             include_usage,
@@ -65,11 +65,11 @@
         }
     }
 
-    /// Takes what was read and returns what may go to the caller now.
+    /// Adds received data and returns the part that may be forwarded now.
     ///
     /// # Errors
     ///
-    /// [`EventTooLong`] when an event exceeds the memory set aside for it.
+    /// [`EventTooLong`] if an event exceeds its buffer.
     pub(crate) fn push(&mut self, part: Bytes) -> Result<Bytes, EventTooLong> {
         if self.is_done {
             return Ok(Bytes::new());
@@ -85,7 +85,7 @@
             }
             let event = &part[start..=newline];
             start = newline + 1;
-            if self.take_event(event) {
+            if self.process_event(event) {
                 relay_end = start;
             }
             if self.is_done {
@@ -95,24 +95,25 @@
         if !self.is_done {
             self.carry.extend_from_slice(&part[start..]);
         }
-        // What follows an early event of usage is held back; it must not grow with the answer.
-        match self.carry.len().max(self.tail.len()) > EVENT_BYTES {
+        // Events after an early usage event are held back; their buffer must not grow with the
+        // answer.
+        match self.carry.len().max(self.tail.len()) > MAX_EVENT_BYTES {
             true => Err(EventTooLong),
             false => Ok(part.slice(..relay_end)),
         }
     }
 
-    /// Whether the event that ends the answer has come.
+    /// Whether the event that ends the answer was received.
     pub(crate) fn is_done(&self) -> bool {
         self.is_done
     }
 
-    /// The usage that the engine reported, or what was counted so far.
+    /// The usage that the engine reported, or the count so far.
     pub(crate) fn usage(&self) -> TokenUsage {
         self.usage
     }
 
-    /// What was held back.
+    /// Returns the held-back events.
     pub(crate) fn take_tail(&mut self) -> Bytes {
         self.tail.split().freeze()
     }
@@ -125,8 +126,8 @@
         self.carry.split().freeze()
     }
 
-    /// Takes one event; true when it may go to the caller now.
-    fn take_event(&mut self, event: &[u8]) -> bool {
+    /// Processes one event; true if it may be forwarded now.
+    fn process_event(&mut self, event: &[u8]) -> bool {
         match self.read_event(event) {
             EventKind::Chunk { tokens } => {
                 if !self.has_report {
@@ -164,7 +165,7 @@
         EventKind::Chunk { tokens }
     }
 
-    /// Reads the usage of an event; true when there is nothing else in it.
+    /// Reads the usage of an event; true if the event contains nothing else.
     fn read_report(&mut self, payload: &[u8]) -> bool {
         let Ok(event) = serde_json::from_slice::<UsageEvent>(payload) else {
             return false;
@@ -180,14 +181,14 @@
     }
 }
 
-/// The data of an event, whose other fields may stand before it.
+/// The `data` field of an event, which other fields may precede.
 fn event_payload(event: &[u8]) -> Option<&[u8]> {
     const FIELD: &[u8] = b"data:";
     let data = match event.strip_prefix(FIELD) {
         Some(data) => data,
         None => {
-            let place = memmem::find(event, b"\ndata:")?;
-            &event[place + 1 + FIELD.len()..]
+            let offset = memmem::find(event, b"\ndata:")?;
+            &event[offset + 1 + FIELD.len()..]
         }
     };
     Some(data.trim_ascii())
@@ -197,15 +198,15 @@
 fn has_usage(payload: &[u8]) -> bool {
     const MEMBER: &[u8] = b"\"usage\"";
     memmem::rfind(payload, MEMBER)
-        .is_some_and(|place| member_value(&payload[place + MEMBER.len()..]).starts_with(b"{"))
+        .is_some_and(|offset| member_value(&payload[offset + MEMBER.len()..]).starts_with(b"{"))
 }
 
-/// Whether the event carries generated text. Engines send an event for each token.
+/// Whether the event contains generated text. Engines send one event per token.
 fn has_content(payload: &[u8]) -> bool {
     const MEMBERS: [&[u8]; 2] = [b"content\"", b"\"arguments\""];
     MEMBERS.iter().any(|member| {
-        memmem::find_iter(payload, member).any(|place| {
-            let value = member_value(&payload[place + member.len()..]);
+        memmem::find_iter(payload, member).any(|offset| {
+            let value = member_value(&payload[offset + member.len()..]);
             value.starts_with(b"\"") && !value.starts_with(b"\"\"")
         })
     })
--- a/crates/beechsaddle/src/calls/guarded_stream.rs
+++ b/crates/beechsaddle/src/calls/guarded_stream.rs
@@ -1,4 +1,4 @@
-//! The `guarded_stream` module provides caller connections that cannot stall for ever.
+//! The `guarded_stream` module provides caller connections with time limits on heads and writes.
 
 use std::io;
 use std::pin::Pin;
@@ -9,18 +9,18 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep};
 
-use super::connection_mark::ConnectionMark;
+use super::connection_tracker::ConnectionTracker;
 use super::head_timer::HeadTimer;
 
-/// A TCP stream that fails when the peer takes too long over a request head, or takes no bytes of
-/// its answer for too long.
+/// A TCP stream that fails if the peer exceeds the time limit for a request head, or accepts no
+/// bytes of its answer for too long.
 ///
-/// A caller that stops reading gets no more bytes, and so its target is not read either. Without
-/// a bound on that, one caller could hold an engine's slot and a reservation for as long as it
-/// likes. The bound counts only time without any progress, so that slow readers are served.
+/// If a caller stops reading, its target is not read either. Without a limit, one caller could
+/// occupy an engine's slot and a reservation for any length of time. The limit counts only time
+/// without progress, so slow readers are still served.
 pub(crate) struct GuardedStream {
     stream: TcpStream,
-    mark: ConnectionMark,
+    tracker: ConnectionTracker,
     head_timer: HeadTimer,
     write_stall: Duration,
     stall: Option<Pin<Box<Sleep>>>,
@@ -28,18 +28,18 @@
 }
 
 impl GuardedStream {
-    /// Guards `stream`; a request head may take `head_span`, and a write may make no progress for
+    /// Wraps `stream`; a request head may take `head_timeout`, and writes may make no progress for
     /// `write_stall`.
     pub(crate) fn new(
         stream: TcpStream,
-        mark: ConnectionMark,
-        head_span: Duration,
+        tracker: ConnectionTracker,
+        head_timeout: Duration,
         write_stall: Duration,
     ) -> Self {
         GuardedStream {
             stream,
-            mark,
-            head_timer: HeadTimer::new(head_span),
+            tracker,
+            head_timer: HeadTimer::new(head_timeout),
             write_stall,
             stall: None,
             is_stalled: false,
@@ -83,7 +83,7 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let awaited = self.mark.awaited_request();
+        let awaited = self.tracker.awaited_request();
         if let Some(request) = awaited {
             self.head_timer.check(request, context)?;
         }
@@ -132,9 +132,9 @@
 
 impl Drop for GuardedStream {
     fn drop(&mut self) {
-        if self.mark.is_broken() {
-            // Closing normally would look like an end to callers that do not check for the last
-            // chunk. A reset is an error to all of them.
+        if self.tracker.is_broken() {
+            // A normal close would look like the end of the answer to callers that do not check for
+            // the last chunk. A reset is an error to all of them.
             let _ = self.stream.set_zero_linger();
         }
     }
--- a/crates/beechsaddle/src/calls/head_timer.rs
+++ b/crates/beechsaddle/src/calls/head_timer.rs
@@ -1,4 +1,4 @@
-//! The `head_timer` module provides the time limit on one request head.
+//! The `head_timer` module provides the time limit for one request head.
 
 use std::io;
 use std::pin::Pin;
@@ -7,11 +7,11 @@
 
 use tokio::time::{Instant, Sleep};
 
-/// Runs from the first byte of a request head to its end.
+/// Time limit that runs from the first byte of a request head to its end.
 ///
-/// The HTTP connection has one limit only, from the end of the last answer on. Callers and
-/// balancers keep idle connections for a minute; a head that drips in could take as long, and a
-/// few thousand of such connections would keep everyone else out.
+/// The HTTP connection has a single time limit, which starts at the end of the last answer. Callers
+/// and load balancers keep idle connections open for a minute; a head that arrives byte by byte
+/// could take as long, and a few thousand of such connections would lock out all other callers.
 pub(crate) struct HeadTimer {
     span: Duration,
     request: Option<u64>,
@@ -19,7 +19,7 @@
 }
 
 impl HeadTimer {
-    /// A timer that does not run.
+    /// Creates a stopped timer.
     pub(crate) fn new(span: Duration) -> Self {
         HeadTimer {
             span,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Notes that bytes of the awaited request came.
+    /// Starts the timer at the first bytes of the awaited request.
     pub(crate) fn start(&mut self, request: u64) {
         if self.request == Some(request) {
             return;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Fails when the head of the awaited request has taken too long.
+    /// Fails if the head of the awaited request exceeded the time limit.
     pub(crate) fn check(&mut self, request: u64, context: &mut Context<'_>) -> io::Result<()> {
         if self.request != Some(request) {
             return Ok(());
--- a/crates/beechsaddle/src/calls/header_filter.rs
+++ b/crates/beechsaddle/src/calls/header_filter.rs
@@ -1,4 +1,4 @@
-//! The `header_filter` module provides which headers pass between callers and targets.
+//! The `header_filter` module provides the headers that are forwarded between callers and targets.
 
 use http::header::{
     AUTHORIZATION, CONNECTION, CONTENT_LENGTH, EXPECT, HOST, PROXY_AUTHENTICATE,
@@ -6,11 +6,11 @@
 };
 use http::{HeaderMap, HeaderName};
 
-/// Names the call on every answer.
+/// Id of the call, on every answer.
 pub(crate) const CALL_HEADER: HeaderName = HeaderName::from_static("beechsaddle-call");
-/// Names the attempt towards targets, and on their answers where they echo it.
+/// Id of the attempt, on requests to targets and on answers of targets that echo it.
 pub(crate) const ATTEMPT_HEADER: HeaderName = HeaderName::from_static("beechsaddle-attempt");
-/// Milliseconds that the target has left.
+/// Milliseconds left until the deadline, on requests to targets.
 pub(crate) const DEADLINE_HEADER: HeaderName = HeaderName::from_static("beechsaddle-deadline-ms");
 /// The caller's idempotency key.
 pub(crate) const IDEMPOTENCY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
@@ -18,13 +18,13 @@
 pub(crate) const BUDGET_HEADER: HeaderName = HeaderName::from_static("beechsaddle-budget");
 /// Whether a call may be repeated.
 pub(crate) const REPEATABLE_HEADER: HeaderName = HeaderName::from_static("beechsaddle-repeatable");
-/// When the caller gives up.
+/// The caller's time-out in milliseconds.
 pub(crate) const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("beechsaddle-timeout-ms");
 
-/// All headers whose names start so are between callers, router and targets of this system.
+/// Prefix of all headers that this system defines between callers, router and targets.
 const OWN_PREFIX: &str = "beechsaddle-";
 
-/// Headers of one connection (RFC 9110, section 7.6.1), beside those that `Connection` names.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), besides those that `Connection` lists.
 const HOP_HEADERS: [HeaderName; 7] = [
     CONNECTION,
     PROXY_AUTHENTICATE,
@@ -35,36 +35,36 @@
     UPGRADE,
 ];
 
-/// The caller's headers that a plain target gets.
+/// Headers of the caller that are forwarded to a plain target.
 ///
-/// The workspace key stays here: a target that got it could spend the workspace's budgets. Headers
-/// of this system are set anew, so that a caller cannot forge an attempt.
+/// The workspace key is removed: a target that had it could spend the workspace's budgets. Headers
+/// of this system are set by the router, so that a caller cannot forge an attempt.
 pub(crate) fn request_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = end_to_end_headers(headers);
+    let mut forwarded = end_to_end_headers(headers);
     for name in [AUTHORIZATION, HOST, EXPECT, CONTENT_LENGTH] {
-        kept.remove(name);
+        forwarded.remove(name);
     }
-    kept
+    forwarded
 }
 
-/// The target's headers that the caller gets.
+/// Headers of the target that are forwarded to the caller.
 pub(crate) fn answer_headers(headers: &HeaderMap) -> HeaderMap {
     end_to_end_headers(headers)
 }
 
 fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let named = connection_names(headers);
-    let mut kept = HeaderMap::with_capacity(headers.len());
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
         let is_hop = HOP_HEADERS.contains(name)
             || named.contains(name)
             || name.as_str() == "keep-alive"
             || name.as_str() == "proxy-connection";
         if !is_hop && !name.as_str().starts_with(OWN_PREFIX) {
-            kept.append(name.clone(), value.clone());
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    kept
+    forwarded
 }
 
 fn connection_names(headers: &HeaderMap) -> Vec<HeaderName> {
--- a/crates/beechsaddle/src/calls/json_members.rs
+++ b/crates/beechsaddle/src/calls/json_members.rs
@@ -1,4 +1,4 @@
-//! The `json_members` module provides the members of a JSON object without their meaning.
+//! The `json_members` module provides the members of a JSON object with uninterpreted values.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -7,22 +7,22 @@
 use serde::de::{Deserializer, Error, MapAccess, Visitor};
 use serde_json::value::RawValue;
 
-/// The largest number of members of an object; requests have a few dozen. Without a limit a body
-/// of small members would take ten times its size in memory while it is read.
-const MOST_MEMBERS: usize = 256;
+/// Maximum number of members of an object; requests have a few dozen. Without a limit, a body of
+/// small members would take ten times its size in memory while it is parsed.
+const MAX_MEMBERS: usize = 256;
 
-/// A JSON string, borrowed where it has no escapes.
+/// A JSON string, borrowed if it has no escapes.
 #[derive(Deserialize)]
 pub(crate) struct JsonText<'a>(#[serde(borrow)] pub(crate) Cow<'a, str>);
 
-/// The members of a JSON object, in order, with their values as written.
+/// The members of a JSON object in order, with their values as written.
 pub(crate) struct JsonMembers<'a>(pub(crate) Vec<(Cow<'a, str>, &'a RawValue)>);
 
 impl<'a> JsonMembers<'a> {
-    /// The first name that comes twice, if any.
+    /// Returns the first duplicate name, if any.
     ///
-    /// Readers differ in which of two members holds. The router would check one `max_tokens` and
-    /// the engine would obey the other, and the budget would be overspent.
+    /// Parsers differ in which of two members they use. The router would check one `max_tokens` and
+    /// the engine would use the other, and the budget would be overspent.
     pub(crate) fn duplicate(&self) -> Option<&str> {
         let mut names: Vec<&str> = self.0.iter().map(|(name, _)| name.as_ref()).collect();
         names.sort_unstable();
@@ -57,8 +57,8 @@
     {
         let mut members = Vec::new();
         while let Some(name) = access.next_key::<JsonText<'de>>()? {
-            if members.len() == MOST_MEMBERS {
-                let message = format!("an object may have at most {MOST_MEMBERS} members");
+            if members.len() == MAX_MEMBERS {
+                let message = format!("an object may have at most {MAX_MEMBERS} members");
                 return Err(A::Error::custom(message));
             }
             let value = access.next_value::<&'de RawValue>()?;
--- a/crates/beechsaddle/src/calls/listener.rs
+++ b/crates/beechsaddle/src/calls/listener.rs
@@ -1,4 +1,4 @@
-//! The `listener` module provides the accepting of connections under a limit.
+//! The `listener` module provides the accepting of connections up to a limit.
 
 use std::convert::Infallible;
 use std::io::Write;
@@ -20,15 +20,15 @@
 use super::edge_phase::EdgePhase;
 use super::edge_state::EdgeState;
 
-/// How long to wait after a failed accept, which is mostly for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, which is mostly caused by a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What a connection beyond the limit gets.
+/// Body of the answer to a connection beyond the limit.
 const CONNECTION_REFUSAL: &str = "{\"error\":{\"type\":\"beechsaddle_refusal\",\
     \"reason\":\"overloaded\",\"ran\":\"no\",\"message\":\"too many open connections\",\
     \"retry_after_ms\":1000}}";
 
-/// Accepts connections until the edge has come to `last_phase`.
+/// Accepts connections until the edge reaches `last_phase`.
 pub(crate) async fn run_listener<S>(
     listener: TcpListener,
     service: S,
@@ -50,7 +50,7 @@
             _ = phase.wait_for(|phase| *phase >= last_phase) => return,
         };
         let Ok((stream, peer)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let Ok(slot) = Arc::clone(&slots).try_acquire_owned() else {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Tells a caller beyond the limit so at once, without a task or a buffer for it.
+/// Refuses a connection beyond the limit at once, without a task or a buffer for it.
 fn refuse_connection(stream: TcpStream, state: &EdgeState) {
     let fault = CallFault::new(RefusalReason::Overloaded, "too many open connections");
     state.count_fault(&fault);
--- a/crates/beechsaddle/src/calls/mod.rs
+++ b/crates/beechsaddle/src/calls/mod.rs
@@ -1,7 +1,8 @@
 //! The `calls` module provides the edge towards callers, operators and targets.
 //!
-//! Heads and bodies are read, checked and relayed here; every decision is the core's. Bodies never
-//! pass the core. `docs/CALL-EDGE.md` tells what was found out about the libraries below.
+//! The edge reads, validates and relays heads and bodies; every decision is made by the core, which
+//! bodies never pass through. `docs/CALL-EDGE.md` describes the behaviour of the libraries that it
+//! relies on.
 
 mod admin_service;
 mod answer_body;
@@ -9,6 +10,7 @@
 mod attempt;
 mod attempt_failure;
 mod body_memory;
+mod buffered_answer;
 mod call_fault;
 mod call_guard;
 mod call_head;
@@ -21,8 +23,8 @@
 mod chat_message;
 mod chat_request;
 mod connection;
-mod connection_mark;
-mod echo_book;
+mod connection_tracker;
+mod echo_table;
 mod edge_phase;
 mod edge_state;
 mod event_ring;
@@ -32,7 +34,6 @@
 mod header_filter;
 mod json_members;
 mod listener;
-mod marked_body;
 mod plain_request;
 mod probe;
 mod probe_answer;
@@ -41,10 +42,10 @@
 mod refusal_answer;
 mod request_body;
 mod target_client;
-mod whole_answer;
+mod tracked_body;
 
 pub use calls_edge::CallsEdge;
 pub use calls_handle::CallsHandle;
 pub use calls_options::CallsOptions;
-pub(crate) use connection_mark::ConnectionMark;
+pub(crate) use connection_tracker::ConnectionTracker;
 pub(crate) use guarded_stream::GuardedStream;
--- a/crates/beechsaddle/src/calls/plain_request.rs
+++ b/crates/beechsaddle/src/calls/plain_request.rs
@@ -8,24 +8,22 @@
 use super::call_fault::CallFault;
 use super::header_filter::request_headers;
 
-/// Where plain services stand.
+/// Path prefix of plain services.
 pub(crate) const SERVICE_PREFIX: &str = "/svc/";
 
-/// A call to a plain service, as it goes to the target.
+/// A call to a plain service, as sent to the target.
 #[derive(Clone, Debug)]
 pub(crate) struct PlainRequest {
-    /// The method.
     pub(crate) method: Method,
-    /// The path behind the service's name, with its query.
+    /// Path after the service's name, with the query.
     pub(crate) path: PathAndQuery,
     /// The caller's end-to-end headers.
     pub(crate) headers: HeaderMap,
-    /// The body.
     pub(crate) body: Bytes,
 }
 
 impl PlainRequest {
-    /// Makes the request of what the caller sent.
+    /// Builds the request without its body.
     pub(crate) fn new(method: Method, path: PathAndQuery, headers: &HeaderMap) -> Self {
         PlainRequest {
             method,
@@ -36,17 +34,17 @@
     }
 }
 
-/// Splits `/svc/<service>/<path>` into the service and the path that the target sees.
+/// Splits `/svc/<service>/<path>` into the service and the path for the target.
 ///
 /// # Errors
 ///
-/// `bad_request` for an empty service, and for `.` and `..` in the path: a target might resolve
-/// them into something that its operators never meant to offer.
+/// `bad_request` for an empty service, and for `.` and `..` segments: a target might resolve them
+/// to a path that its operators do not offer.
 pub(crate) fn read_service_path(uri: &Uri) -> Result<(ServiceName, PathAndQuery), CallFault> {
-    let rest = uri.path().strip_prefix(SERVICE_PREFIX).unwrap_or_default();
-    let (service, path) = match rest.find('/') {
-        Some(place) => rest.split_at(place),
-        None => (rest, "/"),
+    let remainder = uri.path().strip_prefix(SERVICE_PREFIX).unwrap_or_default();
+    let (service, path) = match remainder.find('/') {
+        Some(offset) => remainder.split_at(offset),
+        None => (remainder, "/"),
     };
     if service.is_empty() {
         return Err(CallFault::bad_request(
--- a/crates/beechsaddle/src/calls/probe.rs
+++ b/crates/beechsaddle/src/calls/probe.rs
@@ -15,26 +15,26 @@
 use tokio::sync::Semaphore;
 use volo_http::body::Body;
 
+use super::buffered_answer::read_buffered;
 use super::edge_state::EdgeState;
 use super::probe_answer::{read_health, write_order};
 use super::target_client::ConnectionChoice;
-use super::whole_answer::read_whole;
 
-/// Probes and orders that run at a time.
+/// Maximum number of concurrent probes and orders.
 const PROBE_SLOTS: usize = 512;
-/// The largest answer to a probe in bytes.
-const PROBE_BYTES: usize = 1_024 * 1_024;
-/// When a throttled order comes back if the target did not say, in milliseconds.
-const THROTTLE_MS: u64 = 1_000;
-
-/// The longest time that an engine may ask to stay away, in milliseconds. One broken answer would
-/// otherwise stop all loads that this router orders, for ever.
-const LONGEST_THROTTLE_MS: u64 = 60_000;
-/// Milliseconds after which to come back.
-const RETRY_AFTER_MS: &str = "retry-after-ms";
-
-/// Starts probes and orders.
-pub(crate) struct ProbeDesk {
+/// Maximum size of an answer to a probe in bytes.
+const MAX_PROBE_ANSWER_BYTES: usize = 1_024 * 1_024;
+/// Retry delay of a throttled order without a `retry-after-ms` header, in milliseconds.
+const DEFAULT_THROTTLE_MS: u64 = 1_000;
+
+/// Maximum retry delay accepted from an engine, in milliseconds. One invalid answer could otherwise
+/// stop all loads that this router orders forever.
+const MAX_THROTTLE_MS: u64 = 60_000;
+/// Header with the retry delay in milliseconds.
+const RETRY_AFTER_MS_HEADER: &str = "retry-after-ms";
+
+/// Runs probes and orders.
+pub(crate) struct ProbeRunner {
     state: Arc<EdgeState>,
     runtime: Handle,
     slots: Arc<Semaphore>,
@@ -47,22 +47,22 @@
     body: Bytes,
 }
 
-impl ProbeDesk {
-    /// A desk whose probes run on `runtime`.
+impl ProbeRunner {
+    /// Creates a runner whose probes run on `runtime`.
     pub(crate) fn new(state: Arc<EdgeState>, runtime: Handle) -> Self {
-        ProbeDesk {
+        ProbeRunner {
             state,
             runtime,
             slots: Arc::new(Semaphore::new(PROBE_SLOTS)),
         }
     }
 
-    /// Starts a probe or an order. Its outcome is raised in any case; without a free slot, which
-    /// means that hundreds of targets do not answer, it is raised as failed or unknown at once.
+    /// Starts a probe or an order. Its outcome is always sent to the core; if no slot is free,
+    /// which means that hundreds of targets do not answer, it is sent as failed or unknown at once.
     pub(crate) fn start(&self, action: TargetAction) {
         let state = Arc::clone(&self.state);
         let Ok(slot) = Arc::clone(&self.slots).try_acquire_owned() else {
-            state.ring.raise(CoreEvent::Target(without_answer(action)));
+            state.ring.raise(CoreEvent::Target(failed_event(action)));
             return;
         };
         self.runtime.spawn(async move {
@@ -73,7 +73,7 @@
     }
 }
 
-fn without_answer(action: TargetAction) -> TargetEvent {
+fn failed_event(action: TargetAction) -> TargetEvent {
     match action {
         TargetAction::Probe { target, .. } => TargetEvent::Probed {
             target,
@@ -98,7 +98,7 @@
             let outcome = probe(&address, state).await;
             let cache = match cache_after {
                 Some(after) if outcome != ProbeOutcome::Failed => {
-                    read_cache_news(&address, after, state).await
+                    read_cache_update(&address, after, state).await
                 }
                 _ => None,
             };
@@ -129,8 +129,8 @@
     }
 }
 
-/// Cache events are hints: when they cannot be had the next probe asks again.
-async fn read_cache_news(address: &str, after: u64, state: &EdgeState) -> Option<CacheNews> {
+/// Cache events are hints: if they cannot be read, the next probe requests them again.
+async fn read_cache_update(address: &str, after: u64, state: &EdgeState) -> Option<CacheNews> {
     let request = get_request(&format!("/cache-events?after={after}"));
     let reply = exchange(address, request, ConnectionChoice::Pooled, state).await?;
     match reply.status.is_success() {
@@ -161,11 +161,11 @@
 
 fn read_retry_after(headers: &HeaderMap) -> u64 {
     headers
-        .get(RETRY_AFTER_MS)
+        .get(RETRY_AFTER_MS_HEADER)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.trim().parse().ok())
-        .unwrap_or(THROTTLE_MS)
-        .min(LONGEST_THROTTLE_MS)
+        .unwrap_or(DEFAULT_THROTTLE_MS)
+        .min(MAX_THROTTLE_MS)
 }
 
 fn get_request(path: &str) -> Request<Body> {
@@ -174,7 +174,7 @@
     request
 }
 
-/// Sends a small request and reads its answer whole, all within the time for probes.
+/// Sends a small request and reads the whole answer, all within the time limit for probes.
 async fn exchange(
     address: &str,
     mut request: Request<Body>,
@@ -188,7 +188,9 @@
     let exchange = async {
         let answer = state.client.send(peer, request, choice).await.ok()?;
         let (parts, body) = answer.into_parts();
-        let body = read_whole(body, PROBE_BYTES, span).await.ok()?;
+        let body = read_buffered(body, MAX_PROBE_ANSWER_BYTES, span)
+            .await
+            .ok()?;
         Some(ProbeReply {
             status: parts.status,
             headers: parts.headers,
--- a/crates/beechsaddle/src/calls/probe_answer.rs
+++ b/crates/beechsaddle/src/calls/probe_answer.rs
@@ -1,4 +1,4 @@
-//! The `probe_answer` module provides what targets say of themselves.
+//! The `probe_answer` module provides the bodies of health probes and orders.
 
 use beechsaddle_core::target::{EngineState, LoadReport, ProbeOutcome};
 use serde::Deserialize;
@@ -20,7 +20,7 @@
     Leaving,
 }
 
-/// Reads the answer to a health probe; what cannot be read counts as no answer.
+/// Parses the answer to a health probe; an invalid body counts as a failed probe.
 pub(crate) fn read_health(is_success: bool, body: &[u8]) -> ProbeOutcome {
     let Ok(health) = serde_json::from_slice::<HealthText>(body) else {
         return ProbeOutcome::Failed;
@@ -35,7 +35,7 @@
     }
 }
 
-/// The body of `POST /orders`.
+/// Returns the body of `POST /orders`.
 pub(crate) fn write_order(fence: u64, state: &EngineState) -> Vec<u8> {
     let order = serde_json::json!({
         "fence": fence,
--- a/crates/beechsaddle/src/calls/query_table.rs
+++ b/crates/beechsaddle/src/calls/query_table.rs
@@ -1,4 +1,4 @@
-//! The `query_table` module provides where the core's status answers find their question.
+//! The `query_table` module provides the routing of the core's status to open queries.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,7 +15,7 @@
 }
 
 impl QueryTable {
-    /// Takes a query in.
+    /// Opens a query under a new number.
     pub(crate) fn open(&self) -> (u64, oneshot::Receiver<Box<RouterStatus>>) {
         let query = self.last_query.fetch_add(1, Ordering::Relaxed) + 1;
         let (sender, receiver) = oneshot::channel();
@@ -23,14 +23,14 @@
         (query, receiver)
     }
 
-    /// Answers a query, if anyone still waits for it.
+    /// Answers a query if it is still open.
     pub(crate) fn answer(&self, query: u64, status: Box<RouterStatus>) {
         if let Some(sender) = self.close(query) {
             let _ = sender.send(status);
         }
     }
 
-    /// Forgets a query.
+    /// Removes a query.
     pub(crate) fn close(&self, query: u64) -> Option<oneshot::Sender<Box<RouterStatus>>> {
         self.lock().remove(&query)
     }
--- a/crates/beechsaddle/src/calls/ready_answer.rs
+++ b/crates/beechsaddle/src/calls/ready_answer.rs
@@ -1,4 +1,4 @@
-//! The `ready_answer` module provides answers of targets that may go to the caller.
+//! The `ready_answer` module provides target answers that may be relayed to the caller.
 
 use std::time::Duration;
 
@@ -12,40 +12,36 @@
 use volo_http::response::Response;
 
 use super::answer_tail::AnswerTail;
-use super::attempt::{AttemptOrder, CallContent};
+use super::attempt::{AttemptDispatch, CallContent};
+use super::buffered_answer::{read_buffered, read_usage};
 use super::chat_request::ChatRequest;
 use super::edge_state::EdgeState;
 use super::event_scanner::EventScanner;
 use super::header_filter::{CALL_HEADER, answer_headers};
-use super::whole_answer::{read_usage, read_whole};
 
-/// The media type of server-sent events.
+/// Media type of server-sent events.
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
-/// The head of an answer as the caller gets it.
+/// Status and headers of an answer, as sent to the caller.
 pub(crate) struct AnswerHead {
     status: StatusCode,
     headers: HeaderMap,
 }
 
-/// An answer of a target that may go to the caller.
+/// A target's answer that may be relayed to the caller.
 pub(crate) enum ReadyAnswer {
-    /// It was read whole, so that nothing of it can break off any more.
-    Whole {
-        /// Its head.
+    /// Completely received, so it cannot break off any more.
+    Buffered {
         head: AnswerHead,
-        /// Its body.
         body: Bytes,
-        /// What it used.
         usage: TokenUsage,
     },
-    /// It is relayed as it comes.
+    /// Relayed while it arrives.
     Streamed {
-        /// Its head.
         head: AnswerHead,
-        /// Its body, still with the target.
+        /// Body, not read yet.
         body: Body,
-        /// What of it is held back.
+        /// Held-back last part.
         tail: AnswerTail,
     },
 }
@@ -58,7 +54,7 @@
         }
     }
 
-    /// The answer for the caller of `call`.
+    /// Builds the answer for the caller of `call`.
     pub(crate) fn with_body(self, body: Body, call: &CallId) -> Response {
         let mut response = Response::new(body);
         *response.status_mut() = self.status;
@@ -71,17 +67,17 @@
 }
 
 impl ReadyAnswer {
-    /// Sends the call once and reads as much of the answer as must be known before it is relayed.
+    /// Sends the call once and reads as much of the answer as is needed before it can be relayed.
     ///
     /// # Errors
     ///
-    /// Why the attempt failed; nothing of it has gone to the caller.
+    /// The reason why the attempt failed; nothing was sent to the caller.
     pub(crate) async fn try_fetch(
-        order: &AttemptOrder,
+        dispatch: &AttemptDispatch,
         content: &CallContent,
         state: &EdgeState,
     ) -> Result<Self, AttemptFailure> {
-        let answer = order.try_send(content, state).await?;
+        let answer = dispatch.try_send(content, state).await?;
         match content {
             CallContent::Chat { chat, .. } if chat.stream && answer.status().is_success() => {
                 stream_chat(answer, chat)
@@ -101,7 +97,7 @@
         return Err(AttemptFailure::BadAnswer);
     }
     let mut head = AnswerHead::new(&answer);
-    // The event with the usage may be left out, so that a length of the target's would be wrong.
+    // The event with the usage may be left out, so the target's length would be wrong.
     head.headers.remove(CONTENT_LENGTH);
     let scanner = EventScanner::new(chat.include_usage, chat.input_estimate);
     Ok(ReadyAnswer::Streamed {
@@ -118,7 +114,7 @@
         true => read_usage(&body)?,
         false => TokenUsage::default(),
     };
-    Ok(ReadyAnswer::Whole { head, body, usage })
+    Ok(ReadyAnswer::Buffered { head, body, usage })
 }
 
 async fn relay_plain(answer: Response, state: &EdgeState) -> Result<ReadyAnswer, AttemptFailure> {
@@ -128,15 +124,15 @@
         Some(size) if size <= limit as u64 => {
             let body = read_answer(answer, limit, state).await?;
             let usage = TokenUsage::default();
-            return Ok(ReadyAnswer::Whole { head, body, usage });
+            return Ok(ReadyAnswer::Buffered { head, body, usage });
         }
         Some(remaining) => AnswerTail::Sized {
             remaining,
             tail: Bytes::new(),
         },
         None if answer.headers().contains_key(TRANSFER_ENCODING) => AnswerTail::Chunked,
-        // A body that ends with the connection looks the same whole and cut off. A target that
-        // died halfway would give the caller half an answer as if it were all.
+        // A body that ends with the connection looks the same complete and truncated. If the target
+        // died halfway, the caller would take half an answer for all of it.
         None => return Err(AttemptFailure::BadAnswer),
     };
     Ok(ReadyAnswer::Streamed {
@@ -152,5 +148,5 @@
     state: &EdgeState,
 ) -> Result<Bytes, AttemptFailure> {
     let idle = Duration::from_millis(state.options.answer_idle_ms);
-    read_whole(answer.into_body(), limit, idle).await
+    read_buffered(answer.into_body(), limit, idle).await
 }
--- a/crates/beechsaddle/src/calls/refusal_answer.rs
+++ b/crates/beechsaddle/src/calls/refusal_answer.rs
@@ -1,4 +1,4 @@
-//! The `refusal_answer` module provides refusals as callers read them.
+//! The `refusal_answer` module provides the HTTP answers for refusals.
 
 use beechsaddle_core::prelude::*;
 use http::header::{CONNECTION, CONTENT_TYPE, RETRY_AFTER};
@@ -28,13 +28,13 @@
     call: Option<String>,
 }
 
-/// Makes the answer for a refusal that the core decided on.
+/// Builds the answer for a refusal by the core.
 pub(crate) fn refusal_answer(refusal: &CallRefusal, call: &CallId) -> Response {
     let message = refusal_message(refusal.reason);
     build_answer(refusal, message, Some(call))
 }
 
-/// Makes the answer for a request that the edge refuses by itself.
+/// Builds the answer for a refusal by the edge.
 pub(crate) fn fault_answer(fault: &CallFault, call: Option<&CallId>) -> Response {
     let mut response = build_answer(&fault.refusal, &fault.message, call);
     if fault.closes {
@@ -72,7 +72,7 @@
     response
 }
 
-/// What a refusal tells the caller; `OPERATIONS.md` tells operators what to do.
+/// Message for the caller; `OPERATIONS.md` describes what operators can do.
 fn refusal_message(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::BadRequest => "the request cannot be read",
--- a/crates/beechsaddle/src/calls/request_body.rs
+++ b/crates/beechsaddle/src/calls/request_body.rs
@@ -1,4 +1,4 @@
-//! The `request_body` module provides the reading of request bodies under limits.
+//! The `request_body` module provides the reading of request bodies within limits.
 
 use std::time::Duration;
 
@@ -12,27 +12,26 @@
 use super::call_fault::CallFault;
 use super::edge_state::EdgeState;
 
-/// After how many milliseconds a caller may come back when the memory for bodies is used up.
+/// Retry delay in milliseconds for callers refused because the memory for bodies is used up.
 const MEMORY_RETRY_MS: u64 = 1_000;
-/// The first allocation for a body that comes in parts, in bytes; a larger one would let callers
-/// take memory by a mere claim of length.
+/// First allocation in bytes for a body that arrives in parts; a larger one would let callers
+/// allocate memory by a claimed length alone.
 const FIRST_ALLOCATION_BYTES: usize = 16 * 1_024;
 
 /// A request body and its share of the memory for bodies.
 pub(crate) struct RequestBody {
-    /// The bytes.
     pub(crate) bytes: Bytes,
-    /// Kept as long as the bytes may be sent again.
+    /// Held as long as the bytes may be sent again.
     pub(crate) share: MemoryShare,
 }
 
 impl RequestBody {
-    /// Reads a body whole.
+    /// Reads a whole body.
     ///
     /// # Errors
     ///
-    /// `body_too_large`, `body_timeout`, `overloaded` when the memory for bodies is used up, and
-    /// `bad_request` when the body breaks off.
+    /// `body_too_large`, `body_timeout`, `overloaded` if the memory for bodies is used up, and
+    /// `bad_request` if the body breaks off.
     pub(crate) async fn try_read(body: Body, state: &EdgeState) -> Result<Self, CallFault> {
         let limit = state.options.body_bytes;
         let claimed = body.size_hint().lower();
@@ -67,7 +66,7 @@
         if length > limit {
             return Err(too_large(limit));
         }
-        if !share.try_cover(length) {
+        if !share.try_grow(length) {
             return Err(memory_used_up());
         }
         if first.is_empty() && joined.is_empty() {
--- a/crates/beechsaddle/src/calls/target_client.rs
+++ b/crates/beechsaddle/src/calls/target_client.rs
@@ -1,4 +1,4 @@
-//! The `target_client` module provides connections to targets.
+//! The `target_client` module provides the HTTP client for targets.
 
 use std::net::SocketAddr;
 use std::panic;
@@ -18,10 +18,10 @@
 
 use super::calls_options::CallsOptions;
 
-/// Idle connections kept to each target.
-const IDLE_CONNECTIONS: usize = 64;
+/// Maximum number of idle connections to each target.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// Targets are chosen by the core and named by address, so that nothing is left to balance.
+/// No load balancing: the core chooses the target, and requests name it by address.
 struct NoBalance;
 
 impl MkLbLayer for NoBalance {
@@ -32,24 +32,24 @@
     }
 }
 
-/// Whether a request may go over a connection that was used before.
+/// Whether a request may use a connection that was used before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionChoice {
-    /// An idle connection, or a new one where there is none.
+    /// An idle connection, or a new one if there is none.
     Pooled,
-    /// A new one, closed after the answer.
+    /// A new connection, closed after the answer.
     ///
-    /// A target may close an idle connection while a request is on its way, and then nobody knows
-    /// whether the request ran. For a call that may not be repeated that would be an outcome
-    /// "unknown" in ordinary operation; a new connection has no such race.
+    /// A target may close an idle connection while a request is in flight, and it is then unknown
+    /// whether the request ran. For a call that may not be repeated, that would cause the outcome
+    /// "unknown" in normal operation; a new connection has no such race.
     Fresh,
 }
 
-/// The client towards targets.
+/// HTTP client for targets.
 ///
-/// It is built without the library's outer layers, which would set headers that are the caller's
-/// business. Neither the library's pool nor the connections below ever send a request twice;
-/// `docs/CALL-EDGE.md` tells how that was found out.
+/// It is built without the library's outer layers, which would set headers that belong to the
+/// caller. Neither the library's pool nor the connections below it ever send a request twice;
+/// `docs/CALL-EDGE.md` describes how that was verified.
 pub(crate) struct TargetClient {
     options: CallsOptions,
     pooled: RwLock<Client>,
@@ -57,29 +57,28 @@
 }
 
 impl TargetClient {
-    /// Makes the client.
+    /// Creates the client.
     ///
     /// # Errors
     ///
-    /// The library reads the host's name resolver settings, though it is never asked for a name,
-    /// and panics where there are none; that is told as an error.
+    /// If the host's resolver configuration cannot be read. The library reads it although no name
+    /// is ever resolved, and panics without it; the panic is returned as an error.
     pub(crate) fn try_new(options: &CallsOptions) -> Result<Self> {
         Ok(TargetClient {
             options: options.clone(),
-            pooled: RwLock::new(try_build(options, IDLE_CONNECTIONS)?),
+            pooled: RwLock::new(try_build(options, MAX_IDLE_CONNECTIONS)?),
             fresh: try_build(options, 0)?,
         })
     }
 
-    /// Gives up all kept connections, because an answer came on one that belongs to another
-    /// attempt.
+    /// Drops all pooled connections after an answer that belongs to another attempt.
     ///
-    /// A connection whose answers are one behind gives each call the answer of the one before.
-    /// The library's pool has taken it back by then and cannot be told to drop it, so that every
-    /// further call on it would fail. Such a mix-up is a grave fault of a target and rare;
-    /// connecting anew to the others costs little. Answers that are being relayed go on.
+    /// A connection whose answers are one behind gives each call the answer of the one before. The
+    /// library's pool has already taken it back and cannot drop a single connection, so every
+    /// further call on it would fail. Such a mix-up is a serious and rare fault of a target, and
+    /// reconnecting to the others is cheap. Answers that are being relayed are not affected.
     pub(crate) fn drop_pool(&self) {
-        if let Ok(client) = try_build(&self.options, IDLE_CONNECTIONS) {
+        if let Ok(client) = try_build(&self.options, MAX_IDLE_CONNECTIONS) {
             *self.pooled.write().unwrap_or_else(PoisonError::into_inner) = client;
         }
     }
@@ -91,7 +90,7 @@
             .clone()
     }
 
-    /// Sends one request once and waits for the head of its answer.
+    /// Sends one request once and waits for the head of the answer.
     pub(crate) async fn send(
         &self,
         address: SocketAddr,
@@ -121,7 +120,7 @@
 
 fn try_build(options: &CallsOptions, idle_connections: usize) -> Result<Client> {
     let builder = panic::catch_unwind(Client::builder)
-        .map_err(|_| eyre!("the host's name resolver settings cannot be read"))?;
+        .map_err(|_| eyre!("cannot read the host's resolver configuration"))?;
     let mut builder = builder.mk_load_balance(NoBalance);
     builder
         .set_connect_timeout(Duration::from_millis(options.connect_timeout_ms))
@@ -129,5 +128,5 @@
         .set_max_idle_per_host(idle_connections);
     builder
         .build_without_extra_layers()
-        .map_err(|error| eyre!("the client towards targets cannot be made: {error}"))
+        .map_err(|error| eyre!("cannot create the client for targets: {error}"))
 }
--- a/crates/beechsaddle/src/calls/marked_body.rs
+++ b/crates/beechsaddle/src/calls/tracked_body.rs
@@ -1,4 +1,5 @@
-//! The `marked_body` module provides answers that tell their connection when they have gone out.
+//! The `tracked_body` module provides answer bodies that report to their connection when they were
+//! sent.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,22 +8,21 @@
 use http_body::{Frame, SizeHint};
 use volo_http::body::Body;
 
-use super::connection_mark::ConnectionMark;
+use super::connection_tracker::ConnectionTracker;
 
-/// An answer's body; dropped by the HTTP connection when all of it was taken.
-pub(crate) struct MarkedBody {
+/// Body of an answer; the HTTP connection drops it once all of it was read.
+pub(crate) struct TrackedBody {
     body: Body,
-    mark: ConnectionMark,
+    tracker: ConnectionTracker,
 }
 
-impl MarkedBody {
-    /// Marks `body`.
-    pub(crate) fn new(body: Body, mark: ConnectionMark) -> Self {
-        MarkedBody { body, mark }
+impl TrackedBody {
+    pub(crate) fn new(body: Body, tracker: ConnectionTracker) -> Self {
+        TrackedBody { body, tracker }
     }
 }
 
-impl http_body::Body for MarkedBody {
+impl http_body::Body for TrackedBody {
     type Data = Bytes;
     type Error = <Body as http_body::Body>::Error;
 
@@ -42,8 +42,8 @@
     }
 }
 
-impl Drop for MarkedBody {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
-        self.mark.end_request();
+        self.tracker.end_request();
     }
 }
--- a/crates/beechsaddle/src/gateway/answer_body.rs
+++ b/crates/beechsaddle/src/gateway/answer_body.rs
@@ -8,7 +8,7 @@
 use http_body::{Body, Frame, SizeHint};
 
 use super::stream_relay::StreamBroken;
-use crate::calls::ConnectionMark;
+use crate::calls::ConnectionTracker;
 
 /// Chunks of a relayed response.
 pub(super) type BodyStream = Pin<Box<dyn Stream<Item = Result<Bytes, StreamBroken>>>>;
@@ -62,11 +62,11 @@
 /// A response body that marks the request on its connection as ended when it is dropped.
 pub(super) struct TrackedBody {
     body: AnswerBody,
-    mark: ConnectionMark,
+    mark: ConnectionTracker,
 }
 
 impl TrackedBody {
-    pub(super) fn new(body: AnswerBody, mark: ConnectionMark) -> Self {
+    pub(super) fn new(body: AnswerBody, mark: ConnectionTracker) -> Self {
         TrackedBody { body, mark }
     }
 }
--- a/crates/beechsaddle/src/gateway/caller_listener.rs
+++ b/crates/beechsaddle/src/gateway/caller_listener.rs
@@ -16,7 +16,7 @@
 use super::answer_body::TrackedBody;
 use super::call_exchange::serve_call;
 use super::gateway_state::{GatewayPhase, GatewayState};
-use crate::calls::{ConnectionMark, GuardedStream};
+use crate::calls::{ConnectionTracker, GuardedStream};
 
 /// Delay after a failed accept, usually caused by a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -59,7 +59,7 @@
         .map_or(CallerLimits::default(), |config| config.limits);
     let head_timeout = Duration::from_millis(limits.head_timeout_ms);
     let idle_timeout = Duration::from_millis(limits.idle_timeout_ms);
-    let mark = ConnectionMark::default();
+    let mark = ConnectionTracker::default();
     let stream = GuardedStream::new(stream, mark.clone(), head_timeout, WRITE_STALL_TIMEOUT);
     let service = service_fn(|request| {
         mark.start_request();
--- a/crates/beechsaddle/src/peers/edge_context.rs
+++ b/crates/beechsaddle/src/peers/edge_context.rs
@@ -1,4 +1,4 @@
-//! The `edge_context` module provides what all tasks of the edge between routers share.
+//! The `edge_context` module provides the state shared by all tasks of the edge between routers.
 
 use std::sync::Arc;
 
@@ -12,23 +12,21 @@
 use super::peers_stats::{PeersStats, add};
 use crate::report::ReportHandle;
 
-/// What all tasks of the edge share.
+/// State shared by all tasks of the edge.
 pub(super) struct EdgeContext {
-    /// Bounds and time limits.
     pub(super) options: PeersOptions,
-    /// This router.
-    pub(super) me: RouterIncarnation,
-    /// The counts.
+    /// The incarnation of this router.
+    pub(super) own_incarnation: RouterIncarnation,
     pub(super) stats: Arc<PeersStats>,
-    /// The way to the report edge.
+    /// Handle of the report edge.
     pub(super) reports: ReportHandle,
-    /// The way to the core.
+    /// Ring into the core.
     pub(super) events: Sender<CoreEvent>,
 }
 
 impl EdgeContext {
-    /// Hands a message to the core, or drops it when the core's ring is full.
-    pub(super) fn hand_over(&self, from: &RouterIncarnation, message: PeerMessage) {
+    /// Hands a message to the core, or drops it if the core's ring is full.
+    pub(super) fn send_to_core(&self, from: &RouterIncarnation, message: PeerMessage) {
         let event = CoreEvent::Peer {
             from: from.clone(),
             message,
@@ -48,12 +46,12 @@
         self.count_unsent(&self.stats.dropped, messages);
     }
 
-    /// Counts messages that were on their way when a connection broke.
+    /// Counts messages that were in flight when a connection broke.
     pub(super) fn count_lost(&self, messages: usize) {
         self.count_unsent(&self.stats.lost, messages);
     }
 
-    /// Counts and logs a connection that was refused.
+    /// Counts and logs a refused connection.
     pub(super) fn refuse(&self, peer: impl Into<String>, reason: impl Into<String>) {
         add(&self.stats.refused, 1);
         self.reports.count(CounterName::PeersRefused);
--- a/crates/beechsaddle/src/peers/gate_server.rs
+++ b/crates/beechsaddle/src/peers/gate_server.rs
@@ -1,4 +1,4 @@
-//! The `gate_server` module provides what a connection may call before it has proven itself.
+//! The `gate_server` module provides the calls available before authentication.
 
 use std::rc::Rc;
 
@@ -14,43 +14,43 @@
 use super::edge_context::EdgeContext;
 use super::inbox_server::InboxServer;
 use super::peer_auth::AuthRole;
-use super::stream_gauge::StreamGauge;
+use super::stream_meter::StreamMeter;
 
-/// How far a connection has come.
+/// State of a connection's handshake.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum GateState {
-    /// Nothing was said yet.
+    /// No hello was received yet.
     Open,
     /// The sender was challenged.
     Challenged {
-        /// What it said.
+        /// The hello that was received.
         hello: PeerHello,
-        /// What it was challenged with.
+        /// The nonce of the challenge.
         nonce: [u8; NONCE_BYTES],
     },
-    /// The sender has proven itself.
-    Proven(RouterIncarnation),
-    /// The connection is refused, for this reason.
+    /// The sender is authenticated.
+    Authenticated(RouterIncarnation),
+    /// The connection is refused for this reason.
     Refused(&'static str),
 }
 
-/// The gate of one connection.
+/// Serves the handshake of one connection.
 pub(super) struct GateServer {
     context: Rc<EdgeContext>,
-    gauge: StreamGauge,
+    meter: StreamMeter,
     state: watch::Sender<GateState>,
 }
 
 impl GateServer {
-    /// A gate, and how far the connection has come.
+    /// Creates a server and a receiver of its handshake state.
     pub(super) fn new(
         context: Rc<EdgeContext>,
-        gauge: StreamGauge,
+        meter: StreamMeter,
     ) -> (Self, watch::Receiver<GateState>) {
         let (sender, receiver) = watch::channel(GateState::Open);
         let gate = GateServer {
             context,
-            gauge,
+            meter,
             state: sender,
         };
         (gate, receiver)
@@ -60,23 +60,24 @@
         self.state.borrow().clone()
     }
 
-    fn move_to(&self, state: GateState) {
+    fn set_state(&self, state: GateState) {
         self.state.send_replace(state);
     }
 
     fn refuse(&self, reason: &'static str) -> capnp::Error {
-        self.move_to(GateState::Refused(reason));
+        self.set_state(GateState::Refused(reason));
         capnp::Error::failed(reason.to_owned())
     }
 
-    // A message for an earlier life must not reach this one, which knows nothing of what it is
-    // about: a holder that took over its predecessor's settles would bill without a reservation.
-    fn is_for_me(&self, receiver: &RouterIncarnation) -> bool {
-        let me = &self.context.me;
-        receiver.host == me.host && (receiver.epoch == me.epoch || receiver.epoch == 0)
+    // A message for an earlier incarnation must not reach this one, which has none of the state it
+    // refers to: a holder that handled its predecessor's settles would bill without a reservation.
+    fn is_for_own_incarnation(&self, receiver: &RouterIncarnation) -> bool {
+        let own_incarnation = &self.context.own_incarnation;
+        receiver.host == own_incarnation.host
+            && (receiver.epoch == own_incarnation.epoch || receiver.epoch == 0)
     }
 
-    fn take_hello(
+    fn handle_hello(
         &self,
         parameters: &peer_gate::HelloParams,
     ) -> Result<PeerChallenge, capnp::Error> {
@@ -84,18 +85,18 @@
             return Err(self.refuse("hello_twice"));
         }
         let hello = read_hello(parameters.get()?.get_hello()?).map_err(failed)?;
-        if !self.is_for_me(&hello.receiver) {
+        if !self.is_for_own_incarnation(&hello.receiver) {
             return Err(self.refuse("other_incarnation"));
         }
-        if hello.sender == self.context.me {
+        if hello.sender == self.context.own_incarnation {
             return Err(self.refuse("own_incarnation"));
         }
         let mut nonce = [0; NONCE_BYTES];
         rand::rng().fill_bytes(&mut nonce);
-        let receiver = self.context.me.clone();
+        let receiver = self.context.own_incarnation.clone();
         let auth = &self.context.options.auth;
         let proof = auth.prove(AuthRole::Receiver, &hello, &receiver, &nonce);
-        self.move_to(GateState::Challenged { hello, nonce });
+        self.set_state(GateState::Challenged { hello, nonce });
         Ok(PeerChallenge {
             receiver,
             nonce,
@@ -103,7 +104,7 @@
         })
     }
 
-    fn take_proof(
+    fn handle_proof(
         &self,
         parameters: &peer_gate::ProveParams,
     ) -> Result<RouterIncarnation, capnp::Error> {
@@ -112,13 +113,13 @@
         };
         let proof = read_proof(parameters.get()?.get_proof()?).map_err(failed)?;
         let auth = &self.context.options.auth;
-        let me = &self.context.me;
-        // Without this check anyone who can reach the port could settle calls and mark targets.
-        if !auth.is_proven(&proof, AuthRole::Sender, &hello, me, &nonce) {
+        let own_incarnation = &self.context.own_incarnation;
+        // Without this check any client that reaches the port could settle calls and mark targets.
+        if !auth.is_valid_proof(&proof, AuthRole::Sender, &hello, own_incarnation, &nonce) {
             return Err(self.refuse("wrong_secret"));
         }
-        self.gauge.set_proven();
-        self.move_to(GateState::Proven(hello.sender.clone()));
+        self.meter.set_authenticated();
+        self.set_state(GateState::Authenticated(hello.sender.clone()));
         Ok(hello.sender)
     }
 }
@@ -129,7 +130,7 @@
         parameters: peer_gate::HelloParams,
         mut results: peer_gate::HelloResults,
     ) -> Result<(), capnp::Error> {
-        let challenge = self.take_hello(&parameters)?;
+        let challenge = self.handle_hello(&parameters)?;
         write_challenge(&challenge, results.get().init_challenge()).map_err(failed)
     }
 
@@ -138,7 +139,7 @@
         parameters: peer_gate::ProveParams,
         mut results: peer_gate::ProveResults,
     ) -> Result<(), capnp::Error> {
-        let sender = self.take_proof(&parameters)?;
+        let sender = self.handle_proof(&parameters)?;
         let server = InboxServer::new(sender, Rc::clone(&self.context));
         let inbox: peer_inbox::Client = capnp_rpc::new_client(server);
         results.get().set_inbox(inbox);
--- a/crates/beechsaddle/src/peers/inbox_server.rs
+++ b/crates/beechsaddle/src/peers/inbox_server.rs
@@ -1,4 +1,4 @@
-//! The `inbox_server` module provides what a proven peer may call.
+//! The `inbox_server` module provides the calls available to an authenticated peer.
 
 use std::rc::Rc;
 
@@ -11,15 +11,15 @@
 use super::edge_context::EdgeContext;
 use super::peers_stats::add;
 
-/// Takes the messages of one proven peer. The sender is the one that was proven; a message cannot
-/// claim another.
+/// Receives the messages of one authenticated peer. The sender is always the authenticated one; a
+/// message cannot name another.
 pub(super) struct InboxServer {
     from: RouterIncarnation,
     context: Rc<EdgeContext>,
 }
 
 impl InboxServer {
-    /// An inbox for one peer.
+    /// Creates an inbox for one peer.
     pub(super) fn new(from: RouterIncarnation, context: Rc<EdgeContext>) -> Self {
         InboxServer { from, context }
     }
@@ -30,16 +30,16 @@
             return Err(capnp::Error::failed("too many messages".to_owned()));
         }
         for message in messages.iter() {
-            // One message of a newer version must not cost the others that came with it.
+            // An unknown message of a newer version must not discard the others in the batch.
             match read_message(message) {
-                Ok(message) => self.context.hand_over(&self.from, message),
-                Err(error) => self.note_invalid(&error),
+                Ok(message) => self.context.send_to_core(&self.from, message),
+                Err(error) => self.record_invalid(&error),
             }
         }
         Ok(())
     }
 
-    fn note_invalid(&self, error: &WireError) {
+    fn record_invalid(&self, error: &WireError) {
         add(&self.context.stats.invalid, 1);
         let reports = &self.context.reports;
         reports.count(CounterName::PeerMessagesInvalid);
--- a/crates/beechsaddle/src/peers/link_state.rs
+++ b/crates/beechsaddle/src/peers/link_state.rs
@@ -1,4 +1,4 @@
-//! The `link_state` module provides what the task of a link and those who feed it share.
+//! The `link_state` module provides the state shared by a link's task and its senders.
 
 use std::cell::{Cell, RefCell};
 
@@ -10,52 +10,51 @@
 use super::edge_context::EdgeContext;
 use super::send_queue::{SendBatch, SendQueue};
 
-/// What the task of a link and those who feed it share.
+/// State shared by a link's task and its senders.
 pub(super) struct LinkState {
     queue: RefCell<SendQueue>,
-    news: Notify,
+    changed: Notify,
     closing: Cell<bool>,
 }
 
 impl LinkState {
-    /// Nothing waits.
     pub(super) fn new(context: &EdgeContext) -> Self {
         LinkState {
             queue: RefCell::new(SendQueue::new(&context.options)),
-            news: Notify::new(),
+            changed: Notify::new(),
             closing: Cell::new(false),
         }
     }
 
-    /// Adds a message and tells how many were dropped for it.
+    /// Queues a message and returns how many were dropped for it.
     pub(super) fn push(&self, message: PeerMessage) -> usize {
         let dropped = self.queue.borrow_mut().push(message, Instant::now());
-        self.news.notify_one();
+        self.changed.notify_one();
         dropped
     }
 
-    /// Lets the task end once all is sent.
+    /// Lets the task end once all messages are sent.
     pub(super) fn close(&self) {
         self.closing.set(true);
-        self.news.notify_one();
+        self.changed.notify_one();
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub(super) fn is_empty(&self) -> bool {
         self.queue.borrow().is_empty()
     }
 
-    /// Whether the task shall end once all is sent.
+    /// Whether the task has to end once all messages are sent.
     pub(super) fn is_closing(&self) -> bool {
         self.closing.get()
     }
 
-    /// Waits until something was added or the link closes.
-    pub(super) async fn news(&self) {
-        self.news.notified().await;
+    /// Waits until a message is queued or the link closes.
+    pub(super) async fn changed(&self) {
+        self.changed.notified().await;
     }
 
-    /// Takes the oldest messages for one delivery, and tells how many were too old to be sent.
+    /// Takes the oldest messages for one delivery, and returns how many had expired.
     pub(super) fn take_batch(&self, options: &PeersOptions) -> (SendBatch, usize) {
         self.queue.borrow_mut().take_batch(
             options.batch_messages,
@@ -64,7 +63,7 @@
         )
     }
 
-    /// Drops all that waits and tells how many messages there were.
+    /// Drops all queued messages and returns their number.
     pub(super) fn clear(&self) -> usize {
         self.queue.borrow_mut().clear()
     }
--- a/crates/beechsaddle/src/peers/link_table.rs
+++ b/crates/beechsaddle/src/peers/link_table.rs
@@ -16,14 +16,12 @@
 use super::link_state::LinkState;
 use super::peer_link::PeerLink;
 
-/// A message on its way from the core to a link.
+/// A message from the core for a link.
 #[derive(Debug)]
 pub(super) struct OutboundMessage {
-    /// The receiver.
     pub(super) to: RouterIncarnation,
-    /// Where it listens.
+    /// Listen address of the receiver.
     pub(super) address: String,
-    /// The message.
     pub(super) message: PeerMessage,
 }
 
@@ -41,7 +39,6 @@
 }
 
 impl LinkTable {
-    /// No links.
     pub(super) fn new(context: Rc<EdgeContext>) -> Self {
         LinkTable {
             context,
@@ -50,7 +47,7 @@
         }
     }
 
-    /// Puts a message into the queue of its link; makes the link if there is none.
+    /// Queues a message for its link; creates the link if there is none.
     pub(super) fn send(&self, outbound: OutboundMessage) {
         let Some(state) = self.state_for(&outbound.to, outbound.address) else {
             self.context.count_dropped(1);
@@ -60,7 +57,7 @@
         self.context.count_dropped(dropped);
     }
 
-    /// Waits until all that waits is delivered, but not for longer than a span.
+    /// Waits until all queued messages are delivered, at most for `span`.
     pub(super) async fn close(&self, span: Duration) {
         for link in self.links.borrow().values() {
             link.state.close();
@@ -76,15 +73,15 @@
     fn state_for(&self, to: &RouterIncarnation, address: String) -> Option<Rc<LinkState>> {
         let mut links = self.links.borrow_mut();
         if let Some(link) = links.get(to) {
-            // A task that ended by a panic left its entry here. Messages put into its queue would
-            // never be sent, and the peer would look cut off until this router restarts.
+            // A task that panicked left its entry here. Messages queued there would never be sent,
+            // and the peer would look disconnected until this router restarts.
             if link.address == address && !link.task.is_finished() {
                 return Some(Rc::clone(&link.state));
             }
         } else if links.len() >= self.context.options.links_max {
             return None;
         }
-        // A new link, or one in place of an old entry, whose task ends with it.
+        // A new link, or the replacement of an old entry, whose task ends when it is dropped.
         let state = Rc::new(LinkState::new(&self.context));
         let task = self.start_link(to.clone(), address.clone(), Rc::clone(&state));
         let entry = LinkEntry {
@@ -114,7 +111,7 @@
     }
 }
 
-// A link that ended must not take the entry of its successor with it.
+// A link that ended must not remove the entry of its successor.
 fn remove_link(
     links: &RefCell<BTreeMap<RouterIncarnation, LinkEntry>>,
     to: &RouterIncarnation,
--- a/crates/beechsaddle/src/peers/metered_stream.rs
+++ b/crates/beechsaddle/src/peers/metered_stream.rs
@@ -1,4 +1,4 @@
-//! The `metered_stream` module provides a TCP connection whose bytes are packed, counted and limited.
+//! The `metered_stream` module provides a TCP connection whose data is packed, counted and limited.
 
 use std::io;
 use std::pin::Pin;
@@ -12,43 +12,44 @@
 use tokio_util::compat::{Compat, TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
 use super::peers_stats::{PeersStats, add};
-use super::stream_gauge::StreamGauge;
+use super::stream_meter::StreamMeter;
 
-/// Buffers are for the framing: a message's length and its body are read and written apart.
+/// Buffer size for the framing: the length and the body of a message are read and written
+/// separately.
 const BUFFER_BYTES: usize = 4_096;
 
-/// The reading half as Cap'n Proto sees it: unpacked and limited.
+/// Reading half as Cap'n Proto uses it: unpacked and limited.
 pub(super) type PeerReader = GuardedReader<PackedRead<BufReader<MeteredReader>>>;
 
-/// The writing half as Cap'n Proto sees it.
+/// Writing half as Cap'n Proto uses it.
 pub(super) type PeerWriter = PackedWrite<BufWriter<MeteredWriter>>;
 
-/// Reads no more than a connection may.
+/// Reader limited by the connection's meter.
 pub(super) struct GuardedReader<R> {
     inner: R,
-    gauge: StreamGauge,
+    meter: StreamMeter,
 }
 
-/// The reading half of the socket.
+/// Reading half of the socket, with counters.
 pub(super) struct MeteredReader {
     inner: Compat<OwnedReadHalf>,
     stats: Arc<PeersStats>,
 }
 
-/// The writing half of the socket.
+/// Writing half of the socket, with counters.
 pub(super) struct MeteredWriter {
     inner: Compat<OwnedWriteHalf>,
-    gauge: StreamGauge,
+    meter: StreamMeter,
     stats: Arc<PeersStats>,
 }
 
 /// Splits a connection into its halves.
 ///
-/// Most bytes of a call are zeros, and packing leaves them out: without it heartbeats alone would
-/// take a router's share of the network at the planned size.
+/// Most bytes of a call are zeros, which packing removes: without it, heartbeats alone would use up
+/// a router's share of the network at the planned fleet size.
 pub(super) fn split_metered(
     stream: TcpStream,
-    gauge: &StreamGauge,
+    meter: &StreamMeter,
     stats: &Arc<PeersStats>,
 ) -> (PeerReader, PeerWriter) {
     let (read_half, write_half) = stream.into_split();
@@ -58,14 +59,14 @@
     };
     let writer = MeteredWriter {
         inner: write_half.compat_write(),
-        gauge: gauge.clone(),
+        meter: meter.clone(),
         stats: Arc::clone(stats),
     };
     let reader = PackedRead::new(BufReader::with_capacity(BUFFER_BYTES, reader));
     let writer = PackedWrite::new(BufWriter::with_capacity(BUFFER_BYTES, writer));
     let guarded = GuardedReader {
         inner: reader,
-        gauge: gauge.clone(),
+        meter: meter.clone(),
     };
     (guarded, writer)
 }
@@ -76,10 +77,10 @@
         context: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        let limit = self.gauge.read_limit(buffer.len());
+        let limit = self.meter.read_limit(buffer.len());
         let poll = Pin::new(&mut self.inner).poll_read(context, &mut buffer[..limit]);
         if let Poll::Ready(Ok(size)) = poll {
-            self.gauge.note_read(size)?;
+            self.meter.record_read(size)?;
         }
         poll
     }
@@ -106,7 +107,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.inner).poll_write(context, bytes);
-        self.gauge.note_write(poll.is_pending());
+        self.meter.record_write(poll.is_pending());
         if let Poll::Ready(Ok(size)) = poll {
             add(&self.stats.bytes_out, size as u64);
             add(&self.stats.writes, 1);
--- a/crates/beechsaddle/src/peers/peer_auth.rs
+++ b/crates/beechsaddle/src/peers/peer_auth.rs
@@ -1,4 +1,4 @@
-//! The `peer_auth` module provides how routers prove that they know the shared secret.
+//! The `peer_auth` module provides the mutual authentication of routers by a shared secret.
 
 use std::fmt;
 
@@ -8,28 +8,28 @@
 use sha2::Sha256;
 use subtle::ConstantTimeEq;
 
-/// The side that proves itself. Each has a label of its own in its proof: otherwise a stranger could
+/// The side that authenticates. Each has its own label in its proof; otherwise an attacker could
 /// send a router's own proof back to it and pass for a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AuthRole {
     /// The router that opened the connection.
     Sender,
-    /// The router that was connected to.
+    /// The router that accepted the connection.
     Receiver,
 }
 
-/// Makes and checks proofs. The secret itself never leaves the process.
+/// Creates and verifies proofs of the shared secret, which itself never leaves the process.
 #[derive(Clone)]
 pub struct PeerAuth {
     mac: Hmac<Sha256>,
 }
 
 impl PeerAuth {
-    /// The shortest secret in bytes. A stranger can get one proof and guess at secrets offline, so
-    /// that only a secret that cannot be guessed is safe.
+    /// Minimum length of the secret in bytes. An attacker can obtain one proof and guess secrets
+    /// offline, so only a secret that cannot be guessed is safe.
     pub const SECRET_BYTES_MIN: usize = 32;
 
-    /// Takes the secret that all routers share; `None` when it is too short.
+    /// Creates it from the secret that all routers share; `None` if the secret is too short.
     pub fn try_new(secret: impl AsRef<[u8]>) -> Option<Self> {
         let secret = secret.as_ref();
         if secret.len() < PeerAuth::SECRET_BYTES_MIN {
@@ -39,7 +39,7 @@
         Some(PeerAuth { mac })
     }
 
-    /// The proof of one side for one handshake.
+    /// Returns the proof of one side for one handshake.
     pub(super) fn prove(
         &self,
         role: AuthRole,
@@ -56,8 +56,8 @@
         mac.finalize().into_bytes().into()
     }
 
-    /// Whether a proof of one side is right, in a time that does not tell how much of it is.
-    pub(super) fn is_proven(
+    /// Whether a proof of one side is valid, compared in constant time.
+    pub(super) fn is_valid_proof(
         &self,
         proof: &[u8; PROOF_BYTES],
         role: AuthRole,
@@ -88,7 +88,8 @@
     add_part(mac, &router.epoch.to_le_bytes());
 }
 
-// The length goes before each part: two different rows of parts must not be one row of bytes.
+// Each part is prefixed with its length, so that different sequences of parts never give the same
+// bytes.
 fn add_part(mac: &mut Hmac<Sha256>, part: &[u8]) {
     mac.update(&(part.len() as u64).to_le_bytes());
     mac.update(part);
--- a/crates/beechsaddle/src/peers/peer_session.rs
+++ b/crates/beechsaddle/src/peers/peer_session.rs
@@ -1,4 +1,4 @@
-//! The `peer_session` module provides one proven connection to a peer.
+//! The `peer_session` module provides one authenticated connection to a peer.
 
 use std::fmt;
 use std::io;
@@ -27,27 +27,27 @@
 use super::edge_context::EdgeContext;
 use super::metered_stream::split_metered;
 use super::peer_auth::AuthRole;
-use super::stream_gauge::StreamGauge;
+use super::stream_meter::StreamMeter;
 
-/// Room that a delivery's own framing takes of the largest message, in bytes.
-const FRAME_BYTES: usize = 4_096;
+/// Bytes of the largest message that are reserved for a delivery's own framing.
+const DELIVERY_FRAME_BYTES: usize = 4_096;
 
-/// Why there is no session with a peer.
+/// Why no session with a peer could be opened.
 #[derive(Debug)]
 pub(super) enum SessionError {
-    /// Nobody listens there, or not in time.
+    /// Nothing listens at the address, or it did not answer in time.
     Unreachable(String),
-    /// The peer is not who it should be, or does not take this router for a peer.
+    /// The peer is not the expected one, or does not accept this router as a peer.
     Refused(String),
 }
 
-/// What became of the messages of one delivery.
+/// The result of sending one delivery.
 pub(super) struct SentBatch {
-    /// Comes once the peer has taken them; `None` when there was nothing to send.
+    /// Resolves when the peer has accepted the messages; `None` if there was nothing to send.
     pub(super) answer: Option<Promise<Response<deliver_results::Owned>, capnp::Error>>,
-    /// How many were sent.
+    /// Number of messages sent.
     pub(super) count: usize,
-    /// Why others were not.
+    /// Errors of the messages that were not sent.
     pub(super) rejected: Vec<WireError>,
 }
 
@@ -57,14 +57,14 @@
     error: WireError,
 }
 
-/// One proven connection to a peer.
+/// One authenticated connection to a peer.
 pub(super) struct PeerSession {
     inbox: peer_inbox::Client,
     rpc: AbortOnDropHandle<Result<(), capnp::Error>>,
 }
 
 impl PeerSession {
-    /// Connects and proves both sides to each other.
+    /// Connects and authenticates both sides.
     pub(super) async fn try_open(
         context: &Rc<EdgeContext>,
         to: &RouterIncarnation,
@@ -73,7 +73,9 @@
         let span = Duration::from_millis(context.options.connect_timeout_ms);
         match timeout(span, PeerSession::open(context, to, address)).await {
             Ok(outcome) => outcome,
-            Err(_) => Err(SessionError::Unreachable("timed out".to_owned())),
+            Err(_) => Err(SessionError::Unreachable(
+                "connecting or handshake timed out".to_owned(),
+            )),
         }
     }
 
@@ -82,21 +84,21 @@
         to: &RouterIncarnation,
         address: &str,
     ) -> Result<Self, SessionError> {
-        // Routers know each other by IP numbers. A name would be looked up by the system, on threads
-        // that this edge does not bound.
+        // Routers know each other by IP address. A host name would be resolved by the system, on
+        // threads that this edge does not bound.
         let address: SocketAddr = address
             .parse()
-            .map_err(|_| SessionError::Unreachable("not an address".to_owned()))?;
+            .map_err(|_| SessionError::Unreachable("not a socket address".to_owned()))?;
         let stream = TcpStream::connect(address).await.map_err(unreachable)?;
-        // Messages are small and someone waits for most of them; the batching is done here.
+        // Messages are small and most are awaited by the peer; batching is done by this edge.
         stream.set_nodelay(true).map_err(unreachable)?;
-        let gauge = StreamGauge::unlimited();
-        let (reader, writer) = split_metered(stream, &gauge, &context.stats);
+        let meter = StreamMeter::unlimited();
+        let (reader, writer) = split_metered(stream, &meter, &context.stats);
         let network = VatNetwork::new(reader, writer, Side::Client, reader_options());
         let mut system = RpcSystem::new(Box::new(network), None);
         let gate: peer_gate::Client = system.bootstrap(Side::Server);
         let rpc = AbortOnDropHandle::new(tokio::task::spawn_local(system));
-        let inbox = prove_both(context, to, &gate).await?;
+        let inbox = authenticate_both(context, to, &gate).await?;
         Ok(PeerSession { inbox, rpc })
     }
 
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Waits until the connection has broken.
+    /// Waits until the connection ends and returns the reason.
     pub(super) async fn broken(&mut self) -> String {
         match (&mut self.rpc).await {
             Ok(Ok(())) => "closed".to_owned(),
@@ -137,7 +139,7 @@
     }
 }
 
-async fn prove_both(
+async fn authenticate_both(
     context: &EdgeContext,
     to: &RouterIncarnation,
     gate: &peer_gate::Client,
@@ -145,22 +147,22 @@
     let mut nonce = [0; NONCE_BYTES];
     rand::rng().fill_bytes(&mut nonce);
     let hello = PeerHello {
-        sender: context.me.clone(),
+        sender: context.own_incarnation.clone(),
         receiver: to.clone(),
         nonce,
     };
     let mut request = gate.hello_request();
     write_hello(&hello, request.get().init_hello()).map_err(refused)?;
-    let response = request.send().promise.await.map_err(answered)?;
+    let response = request.send().promise.await.map_err(response_error)?;
     let reader = response.get().and_then(|results| results.get_challenge());
     let challenge = read_challenge(reader.map_err(refused)?).map_err(refused)?;
     let auth = &context.options.auth;
     let receiver = &challenge.receiver;
-    let is_meant = receiver.host == to.host && (receiver.epoch == to.epoch || to.epoch == 0);
-    // Anyone may listen at a peer's old address. Without this check the calls and keys of this
-    // router would be told to whoever does.
-    if !is_meant
-        || !auth.is_proven(
+    let is_expected = receiver.host == to.host && (receiver.epoch == to.epoch || to.epoch == 0);
+    // Any process may listen at a peer's old address. Without this check the calls and keys of this
+    // router would be sent to it.
+    if !is_expected
+        || !auth.is_valid_proof(
             &challenge.proof,
             AuthRole::Receiver,
             &hello,
@@ -173,7 +175,7 @@
     let proof = auth.prove(AuthRole::Sender, &hello, receiver, &challenge.nonce);
     let mut request = gate.prove_request();
     request.get().set_proof(&proof);
-    let response = request.send().promise.await.map_err(answered)?;
+    let response = request.send().promise.await.map_err(response_error)?;
     let inbox = response.get().and_then(|results| results.get_inbox());
     inbox.map_err(refused)
 }
@@ -188,13 +190,13 @@
         write_message(message, list.reborrow().get(index as u32))
             .map_err(|error| WriteFailure { index, error })?;
     }
-    // Only a message that travels alone can be that large: a batch is cut long before.
+    // Only a message that is sent alone can be that large: a batch is limited long before.
     check_size(parameters.into_reader()).map_err(|error| WriteFailure { index: 0, error })
 }
 
 fn check_size(parameters: deliver_params::Reader<'_>) -> Result<(), WireError> {
     let size = parameters.total_size()?.word_count as usize * 8;
-    let limit = MESSAGE_BYTES_MAX - FRAME_BYTES;
+    let limit = MESSAGE_BYTES_MAX - DELIVERY_FRAME_BYTES;
     if size > limit {
         return Err(WireError::TooLarge { size, limit });
     }
@@ -209,9 +211,9 @@
     SessionError::Refused(error.to_string())
 }
 
-// A peer that answers with an error has refused; one whose connection broke may be starting or
+// An error answered by the peer is a refusal; if the connection broke, the peer may be starting or
 // ending.
-fn answered(error: capnp::Error) -> SessionError {
+fn response_error(error: capnp::Error) -> SessionError {
     match error.kind {
         capnp::ErrorKind::Failed => SessionError::Refused(error.to_string()),
         _ => SessionError::Unreachable(error.to_string()),
--- a/crates/beechsaddle/src/peers/peers_edge.rs
+++ b/crates/beechsaddle/src/peers/peers_edge.rs
@@ -1,4 +1,4 @@
-//! The `peers_edge` module provides the thread that talks to other routers.
+//! The `peers_edge` module provides the thread that exchanges messages with other routers.
 
 use std::io;
 use std::net::TcpListener as StdTcpListener;
@@ -22,8 +22,8 @@
 use super::{PeersHandle, PeersOptions};
 use crate::report::ReportHandle;
 
-/// The edge between routers, on a thread and runtime of its own: Cap'n Proto's calls cannot move
-/// between threads.
+/// The edge between routers, with its own thread and runtime, since Cap'n Proto's clients cannot
+/// move between threads.
 pub struct PeersEdge {
     context: EdgeContext,
     listener: StdTcpListener,
@@ -31,14 +31,14 @@
 }
 
 impl PeersEdge {
-    /// Starts to listen. What peers send comes as [`CoreEvent::Peer`].
+    /// Starts listening. Messages of peers arrive as [`CoreEvent::Peer`].
     ///
     /// # Errors
     ///
-    /// When the address cannot be listened at, or the thread cannot be made.
+    /// If the address cannot be bound, or the thread cannot be started.
     pub fn try_start(
         options: PeersOptions,
-        me: RouterIncarnation,
+        own_incarnation: RouterIncarnation,
         events: Sender<CoreEvent>,
         reports: ReportHandle,
     ) -> io::Result<PeersHandle> {
@@ -51,7 +51,7 @@
         let edge = PeersEdge {
             context: EdgeContext {
                 options,
-                me,
+                own_incarnation,
                 stats: Arc::clone(&stats),
                 reports: reports.clone(),
                 events,
@@ -80,7 +80,7 @@
     async fn serve(mut self) {
         let context = Rc::new(self.context);
         let accept_loop = AcceptLoop::new(Rc::clone(&context));
-        // Only fails when the runtime has no reactor, and this one has.
+        // Fails only without a reactor, which this runtime has.
         let Ok(listener) = TcpListener::from_std(self.listener) else {
             return;
         };
@@ -89,8 +89,8 @@
         while let Some(outbound) = self.ring.recv().await {
             links.send(outbound);
         }
-        // The last messages of a router that leaves tell its peers that it left; without them they
-        // would wait for it to be missed.
+        // The last messages of a leaving router announce to its peers that it leaves; without them
+        // the peers would have to detect its failure.
         links
             .close(Duration::from_millis(context.options.drain_ms))
             .await;
--- a/crates/beechsaddle/src/peers/peers_handle.rs
+++ b/crates/beechsaddle/src/peers/peers_handle.rs
@@ -1,4 +1,4 @@
-//! The `peers_handle` module provides the way to the edge between routers.
+//! The `peers_handle` module provides the handle of the running edge between routers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +25,6 @@
 }
 
 impl PeersHandle {
-    /// Joins the parts.
     pub(super) fn new(
         ring: Sender<OutboundMessage>,
         thread: JoinHandle<()>,
@@ -44,8 +43,8 @@
 
     /// Hands over a message without ever waiting. It may be lost, and is never sent twice.
     ///
-    /// An incarnation with epoch zero stands for whichever life of that host listens at the address;
-    /// it is meant for the first heartbeat to a host that was only listed.
+    /// An incarnation with epoch zero stands for any incarnation of that host at the address; it is
+    /// meant for the first heartbeat to a host that is only known from the host list.
     pub fn send(&self, to: RouterIncarnation, address: String, message: PeerMessage) {
         let Some(ring) = &self.ring else {
             return;
@@ -64,17 +63,18 @@
         }
     }
 
-    /// Where the edge listens, with the port that the system chose when the settings gave none.
+    /// Address that the edge listens on, with the port that the system chose if the settings gave
+    /// none.
     pub fn local_address(&self) -> SocketAddr {
         self.local_address
     }
 
-    /// What the edge has counted so far.
+    /// Counters of the edge so far.
     pub fn counts(&self) -> PeersCounts {
         self.stats.counts()
     }
 
-    /// Delivers what was handed over, within the drain time of the options, and ends the edge.
+    /// Delivers the queued messages within the drain time of the options, and ends the edge.
     pub fn stop(mut self) {
         self.end();
     }
@@ -82,7 +82,7 @@
     fn end(&mut self) {
         self.ring = None;
         if let Some(thread) = self.thread.take() {
-            // A panic of the edge was printed by the runtime; there is nothing to add to it.
+            // A panic of the edge was already printed by the runtime.
             let _ = thread.join();
         }
     }
--- a/crates/beechsaddle/src/peers/peers_options.rs
+++ b/crates/beechsaddle/src/peers/peers_options.rs
@@ -1,54 +1,54 @@
-//! The `peers_options` module provides the bounds and time limits of the edge between routers.
+//! The `peers_options` module provides the limits and time-outs of the edge between routers.
 
 use std::net::SocketAddr;
 
 use super::PeerAuth;
 
-/// Bounds and time limits of the edge between routers.
+/// Limits and time-outs of the edge between routers.
 ///
-/// What a queue may hold bounds the memory that peers without an answer can take: with 30 peers, all
-/// of them frozen, 30 times `queue_bytes` and `flight_bytes`, about 10 MB.
+/// The limits of a queue bound the memory used by peers that do not answer: with 30 peers, all of
+/// them frozen, 30 times `queue_bytes` and `in_flight_bytes`, about 10 MB.
 #[derive(Clone, Debug)]
 pub struct PeersOptions {
-    /// What the edge's thread is called; several edges in one process are told apart by it.
+    /// Name of the edge's thread; distinguishes several edges in one process.
     pub thread_name: String,
-    /// Where peers reach this router.
+    /// Listen address for peers.
     pub listen: SocketAddr,
-    /// How routers prove that they belong to the fleet.
+    /// Authentication of the fleet's routers.
     pub auth: PeerAuth,
-    /// How many messages may wait between the core and this edge.
+    /// Capacity of the ring from the core to this edge, in messages.
     pub ring_size: usize,
-    /// How many messages may wait for one peer.
+    /// Maximum number of messages queued for one peer.
     pub queue_messages: usize,
-    /// About how many bytes may wait for one peer.
+    /// Approximate maximum of bytes queued for one peer.
     pub queue_bytes: usize,
-    /// About how many bytes may be on their way to one peer.
-    pub flight_bytes: usize,
-    /// How many deliveries may be on their way to one peer.
-    pub flight_calls: usize,
-    /// How many messages go into one delivery.
+    /// Approximate maximum of bytes in flight to one peer.
+    pub in_flight_bytes: usize,
+    /// Maximum number of deliveries in flight to one peer.
+    pub in_flight_deliveries: usize,
+    /// Maximum number of messages in one delivery.
     pub batch_messages: usize,
-    /// About how many bytes go into one delivery.
+    /// Approximate maximum of bytes in one delivery.
     pub batch_bytes: usize,
-    /// How many peers this router sends to.
+    /// Maximum number of peers that this router sends to.
     pub links_max: usize,
-    /// How many connections of proven peers it takes.
+    /// Maximum number of accepted connections of authenticated peers.
     pub accepted_max: usize,
-    /// How many connections it takes that have not proven themselves yet.
-    pub unproven_max: usize,
-    /// How long connecting and the handshake may take, in milliseconds.
+    /// Maximum number of accepted connections that are not authenticated yet.
+    pub unauthenticated_max: usize,
+    /// Time limit for connecting and the handshake, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// How long a delivery may take, in milliseconds, before the connection is given up.
+    /// Time limit for a delivery, in milliseconds; the connection is closed when it is exceeded.
     pub delivery_timeout_ms: u64,
-    /// How long a message may wait, in milliseconds; an older one would be of no use any more.
+    /// Maximum age of a queued message, in milliseconds; its sender no longer waits for older ones.
     pub message_age_ms: u64,
-    /// After how many milliseconds without a message a connection is closed.
+    /// Idle time after which a connection is closed, in milliseconds.
     pub idle_ms: u64,
-    /// How long to wait before the first attempt to reconnect, in milliseconds.
+    /// Minimum delay before an attempt to reconnect, in milliseconds.
     pub backoff_min_ms: u64,
-    /// How long to wait at most between attempts to reconnect, in milliseconds.
+    /// Maximum delay between attempts to reconnect, in milliseconds.
     pub backoff_max_ms: u64,
-    /// How long a router that exits waits for its last messages to be delivered, in milliseconds.
+    /// Time limit for delivering the last messages of a router that exits, in milliseconds.
     pub drain_ms: u64,
 }
 
@@ -62,13 +62,13 @@
             ring_size: 4_096,
             queue_messages: 1_024,
             queue_bytes: 256 * 1024,
-            flight_bytes: 64 * 1024,
-            flight_calls: 4,
+            in_flight_bytes: 64 * 1024,
+            in_flight_deliveries: 4,
             batch_messages: 256,
             batch_bytes: 32 * 1024,
             links_max: 256,
             accepted_max: 256,
-            unproven_max: 32,
+            unauthenticated_max: 32,
             connect_timeout_ms: 1_000,
             delivery_timeout_ms: 2_000,
             message_age_ms: 5_000,
--- a/crates/beechsaddle/src/peers/peers_stats.rs
+++ b/crates/beechsaddle/src/peers/peers_stats.rs
@@ -1,23 +1,23 @@
-//! The `peers_stats` module provides what the edge between routers counts of itself.
+//! The `peers_stats` module provides the counters of the edge between routers.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 macro_rules! peers_stats {
     ($($(#[$meta:meta])* $name:ident,)*) => {
-        /// Running counts of the edge.
+        /// Running counters of the edge.
         #[derive(Debug, Default)]
         pub(super) struct PeersStats {
             $(pub(super) $name: AtomicU64,)*
         }
 
-        /// Counts of the edge at one moment, since it was started.
+        /// Counters of the edge at one moment, since it was started.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
         pub struct PeersCounts {
             $($(#[$meta])* pub $name: u64,)*
         }
 
         impl PeersStats {
-            /// The counts now.
+            /// Returns the current values.
             pub(super) fn counts(&self) -> PeersCounts {
                 PeersCounts {
                     $($name: self.$name.load(Ordering::Relaxed),)*
@@ -30,7 +30,7 @@
 peers_stats! {
     /// Messages whose delivery was confirmed.
     delivered,
-    /// Messages that were on their way when the connection broke; they may have been delivered.
+    /// Messages in flight when the connection broke; they may have been delivered.
     lost,
     /// Messages dropped before they were sent: queue full, too old, too large, or a wrong peer.
     dropped,
@@ -40,11 +40,11 @@
     deliveries,
     /// Messages received and handed to the core.
     received,
-    /// Messages received that could not be read.
+    /// Messages received that could not be decoded.
     invalid,
     /// Connections refused: wrong secret, wrong incarnation, no proof in time, or too many.
     refused,
-    /// Connections opened and proven.
+    /// Connections opened and authenticated.
     connected,
     /// Bytes written to peers, without TCP and IP headers.
     bytes_out,
@@ -54,7 +54,6 @@
     writes,
 }
 
-/// Adds to a count.
 pub(super) fn add(count: &AtomicU64, amount: u64) {
     count.fetch_add(amount, Ordering::Relaxed);
 }
--- a/crates/beechsaddle/src/peers/link_flight.rs
+++ b/crates/beechsaddle/src/peers/pending_deliveries.rs
@@ -1,4 +1,4 @@
-//! The `link_flight` module provides the deliveries that are on their way to one peer.
+//! The `pending_deliveries` module provides the deliveries in flight to one peer.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,50 +10,48 @@
 use super::PeersOptions;
 use super::peer_session::SentBatch;
 
-/// A delivery that has come to its end.
+/// A completed delivery.
 pub(super) struct DeliveryEnd {
-    /// How many messages it had.
+    /// Number of messages in it.
     pub(super) count: usize,
-    /// About how many bytes they had.
+    /// Approximate size in bytes.
     bytes: usize,
-    /// Taken, or why it is not known.
+    /// `Ok` if the peer accepted it, otherwise the reason why that is unknown.
     pub(super) outcome: Result<(), String>,
 }
 
-/// Deliveries that are on their way.
-pub(super) struct LinkFlight {
+/// The deliveries in flight to one peer.
+pub(super) struct PendingDeliveries {
     pending: FuturesUnordered<Pin<Box<dyn Future<Output = DeliveryEnd>>>>,
     messages: usize,
     bytes: usize,
 }
 
-impl LinkFlight {
-    /// Nothing is on its way.
+impl PendingDeliveries {
     pub(super) fn new() -> Self {
-        LinkFlight {
+        PendingDeliveries {
             pending: FuturesUnordered::new(),
             messages: 0,
             bytes: 0,
         }
     }
 
-    /// Whether nothing is on its way.
     pub(super) fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
     /// Whether another delivery may be sent.
     pub(super) fn has_room(&self, options: &PeersOptions) -> bool {
-        self.pending.len() < options.flight_calls && self.bytes < options.flight_bytes
+        self.pending.len() < options.in_flight_deliveries && self.bytes < options.in_flight_bytes
     }
 
-    /// How many messages are on their way.
+    /// Number of messages in flight.
     pub(super) fn messages(&self) -> usize {
         self.messages
     }
 
-    /// The next delivery that comes to its end. One that failed still counts as on its way, since it
-    /// may have been taken.
+    /// Waits for the next delivery to complete. A failed one still counts as in flight, since the
+    /// peer may have accepted it.
     pub(super) async fn next(&mut self) -> Option<DeliveryEnd> {
         let done = self.pending.next().await?;
         if done.outcome.is_ok() {
@@ -73,12 +71,12 @@
         self.bytes += bytes;
         let span = Duration::from_millis(timeout_ms);
         self.pending.push(Box::pin(async move {
-            // A frozen peer's kernel goes on taking bytes, so that nothing but the missing answer
-            // tells. Without the limit its deliveries would stay on their way for ever.
+            // The kernel of a frozen peer keeps accepting bytes, so only the missing answer shows
+            // the failure. Without the time limit its deliveries would stay in flight forever.
             let outcome = match timeout(span, answer).await {
                 Ok(Ok(_)) => Ok(()),
                 Ok(Err(error)) => Err(error.to_string()),
-                Err(_) => Err("no answer in time".to_owned()),
+                Err(_) => Err("delivery timed out without an answer".to_owned()),
             };
             DeliveryEnd {
                 count,
--- a/crates/beechsaddle/src/peers/send_queue.rs
+++ b/crates/beechsaddle/src/peers/send_queue.rs
@@ -1,4 +1,4 @@
-//! The `send_queue` module provides the messages that wait for one peer.
+//! The `send_queue` module provides the queue of messages for one peer.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,23 +9,23 @@
 
 use super::PeersOptions;
 
-/// A message that waits.
+/// A queued message.
 struct WaitingMessage {
     message: PeerMessage,
     bytes: usize,
     since: Instant,
 }
 
-/// Messages that go out in one delivery.
+/// Messages of one delivery.
 #[derive(Debug, Default)]
 pub(super) struct SendBatch {
     /// The messages, oldest first.
     pub(super) messages: Vec<PeerMessage>,
-    /// About how many bytes they have.
+    /// Approximate size in bytes.
     pub(super) bytes: usize,
 }
 
-/// The messages that wait for one peer, within bounds.
+/// The bounded queue of messages for one peer.
 pub(super) struct SendQueue {
     waiting: VecDeque<WaitingMessage>,
     bytes: usize,
@@ -35,7 +35,6 @@
 }
 
 impl SendQueue {
-    /// An empty queue.
     pub(super) fn new(options: &PeersOptions) -> Self {
         SendQueue {
             waiting: VecDeque::new(),
@@ -46,24 +45,23 @@
         }
     }
 
-    /// Whether nothing waits.
     pub(super) fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Adds a message and tells how many were dropped for it, itself included.
+    /// Queues a message and returns how many were dropped for it, itself included.
     ///
-    /// A frozen or unreachable peer takes nothing while messages for it go on coming. Without the
-    /// bounds they would fill the router's memory; dropping is allowed, since messages may be lost.
+    /// Messages keep arriving for a frozen or unreachable peer that accepts none. Without limits
+    /// they would fill the router's memory; dropping is allowed, since messages may be lost.
     pub(super) fn push(&mut self, message: PeerMessage, now: Instant) -> usize {
         let bytes = message_bytes_hint(&message);
-        // One that is larger than the whole queue, as a catalogue, is not worth all that waits.
+        // A message larger than the whole queue, such as a catalogue, must not displace all others.
         if bytes > self.bytes_max && !self.is_empty() {
             return 1;
         }
         let mut dropped = 0;
         while !self.is_empty() && !self.has_room(bytes) {
-            self.drop_one();
+            self.drop_message();
             dropped += 1;
         }
         self.bytes += bytes;
@@ -75,7 +73,7 @@
         dropped
     }
 
-    /// Takes the oldest messages for one delivery, and tells how many were too old to be sent.
+    /// Takes the oldest messages for one delivery, and returns how many had expired.
     pub(super) fn take_batch(
         &mut self,
         messages_max: usize,
@@ -96,8 +94,8 @@
             };
             self.bytes -= item.bytes;
             if is_expired {
-                // The sender has given up on it long ago. Delivered after a partition, a flood of
-                // old requests would take the place of those that callers still wait for.
+                // The sender no longer waits for this message. After a partition, a flood of old
+                // requests would delay those that callers still wait for.
                 expired += 1;
                 continue;
             }
@@ -107,7 +105,7 @@
         (batch, expired)
     }
 
-    /// Drops all messages and tells how many there were.
+    /// Drops all messages and returns their number.
     pub(super) fn clear(&mut self) -> usize {
         let count = self.waiting.len();
         self.waiting.clear();
@@ -119,8 +117,8 @@
         self.waiting.len() < self.messages_max && self.bytes + bytes <= self.bytes_max
     }
 
-    // What is said again anyway goes first, then what has waited longest.
-    fn drop_one(&mut self) {
+    // Drops a message that is sent periodically, otherwise the oldest one.
+    fn drop_message(&mut self) {
         let repeated = self
             .waiting
             .iter()
@@ -131,7 +129,7 @@
     }
 }
 
-// Messages whose content the sender tells again, later and newer, without being asked.
+// Messages whose content the sender sends again in a newer version without being asked.
 fn is_repeated(message: &PeerMessage) -> bool {
     match message {
         PeerMessage::Heartbeat(_)
--- a/crates/beechsaddle/src/router/clock_source.rs
+++ b/crates/beechsaddle/src/router/clock_source.rs
@@ -1,4 +1,4 @@
-//! The `clock_source` module provides the time that the core is told.
+//! The `clock_source` module provides the time passed to the core.
 
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -6,19 +6,20 @@
 use beechsaddle_core::gateway::ClockReading;
 use beechsaddle_core::prelude::*;
 
-/// Tells the time in milliseconds since the Unix epoch, never backwards.
+/// Time in milliseconds since the Unix epoch, never backwards.
 ///
 /// The host's wall clock may be stepped. It is read once; from then on the monotonic clock counts,
-/// so that timeouts neither fire early nor hang when the wall clock moves.
+/// so time-outs neither fire early nor hang when the wall clock is stepped.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockSource {
     started: Instant,
-    started_millis: u64,
+    started_ms: u64,
 }
 
 impl ClockSource {
-    /// The clock of this process. The edge makes deadlines that the core compares with its own time;
-    /// on two clocks every call would be refused as late after the wall clock was stepped back.
+    /// Returns the clock of this process. The edge sets deadlines that the core compares with its
+    /// own time; with two clocks, every call would be refused as late after the wall clock was
+    /// stepped back.
     pub fn of_process() -> Self {
         static CLOCK: OnceLock<ClockSource> = OnceLock::new();
         *CLOCK.get_or_init(ClockSource::start)
@@ -28,19 +29,18 @@
     fn start() -> Self {
         ClockSource {
             started: Instant::now(),
-            started_millis: wall_clock().as_millis(),
+            started_ms: wall_clock().as_millis(),
         }
     }
 
-    /// What this host's clocks say, for other routers.
+    /// Returns the readings of this host's clocks, for other routers.
     pub fn reading(&self) -> ClockReading {
         ClockReading::of(self.now(), wall_clock())
     }
 
-    /// The time now.
     pub fn now(&self) -> ClockTime {
         let elapsed = u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX);
-        ClockTime::from_millis(self.started_millis).plus_ms(elapsed)
+        ClockTime::from_millis(self.started_ms).plus_ms(elapsed)
     }
 }
 
