--- a/crates/beechsaddle/src/router/core_loop.rs
+++ b/crates/beechsaddle/src/router/core_loop.rs
@@ -1,4 +1,5 @@
-//! The `core_loop` module provides the thread that feeds events to the core and hands out actions.
+//! The `core_loop` module provides the thread that passes events to the core and actions to the
+//! edges.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -18,11 +19,11 @@
 
 /// The edges that carry out actions.
 pub struct EdgeHandles {
-    /// Towards callers and targets.
+    /// Edge towards callers and targets.
     pub calls: CallsHandle,
-    /// Towards the platform.
+    /// Edge towards the platform.
     pub platform: PlatformHandle,
-    /// Towards other routers.
+    /// Edge towards other routers.
     pub peers: PeersHandle,
     /// Logs and metrics.
     pub report: ReportHandle,
@@ -30,29 +31,29 @@
 
 /// The receiving ends of the rings into the core.
 pub struct EventSources {
-    /// From the calls edge.
+    /// Events of the calls edge.
     pub calls: Receiver<CoreEvent>,
-    /// From the platform edge.
+    /// Events of the platform edge.
     pub platform: Receiver<CoreEvent>,
-    /// From the peers edge.
+    /// Events of the peers edge.
     pub peers: Receiver<CoreEvent>,
-    /// From the process itself.
+    /// Events of the process itself.
     pub control: Receiver<CoreEvent>,
 }
 
-/// Runs the core until it asks to exit.
+/// Runs the core until it requests the exit.
 pub struct CoreLoop {
     core: RouterCore,
     clock: ClockSource,
     edges: EdgeHandles,
     outbox: CoreOutbox,
     next_tick: Instant,
-    /// Platform calls that found no place; the core hears of them before anything else.
+    /// Replies to platform calls that were refused because too many were in flight; processed before
+    /// all other events.
     refused: VecDeque<CoreEvent>,
 }
 
 impl CoreLoop {
-    /// A loop that has not run.
     pub fn new(core: RouterCore, clock: ClockSource, edges: EdgeHandles) -> Self {
         CoreLoop {
             core,
@@ -64,26 +65,26 @@
         }
     }
 
-    /// Feeds events until the core asks to exit.
+    /// Processes events until the core requests the exit.
     ///
     /// # Errors
     ///
-    /// When the thread of an edge has ended: without its edges the core can end no call.
+    /// If the thread of an edge has ended: without its edges the core cannot end any call.
     pub fn run(mut self, sources: &EventSources) -> Result<EdgeHandles> {
         let mut exits = self.step(CoreEvent::Started);
         while !exits {
             let event = self.next_event(sources)?;
             exits = self.step(event);
         }
-        // Calls that came while the core decided to exit get their refusal now.
+        // Calls that arrived while the core decided to exit get their refusal now.
         while let Ok(event) = sources.calls.try_recv() {
             self.step(event);
         }
         Ok(self.edges)
     }
 
-    /// The next event: a due tick first, so that a flood cannot hold back timeouts, then control,
-    /// the platform and peers, whose events end calls, and last the calls edge.
+    /// Returns the next event: a due tick first, so that a flood of events cannot delay time-outs,
+    /// then control, the platform and peers, whose events end calls, and last the calls edge.
     fn next_event(&mut self, sources: &EventSources) -> Result<CoreEvent> {
         if let Some(event) = self.refused.pop_front() {
             return Ok(event);
@@ -95,15 +96,15 @@
         }
         let wait = self.next_tick - now;
         select_biased! {
-            recv(sources.control) -> event => event.wrap_err("the ring of the edge `control` has ended"),
-            recv(sources.platform) -> event => event.wrap_err("the ring of the edge `platform` has ended"),
-            recv(sources.peers) -> event => event.wrap_err("the ring of the edge `peers` has ended"),
-            recv(sources.calls) -> event => event.wrap_err("the ring of the edge `calls` has ended"),
+            recv(sources.control) -> event => event.wrap_err("event ring of the `control` edge was closed"),
+            recv(sources.platform) -> event => event.wrap_err("event ring of the `platform` edge was closed"),
+            recv(sources.peers) -> event => event.wrap_err("event ring of the `peers` edge was closed"),
+            recv(sources.calls) -> event => event.wrap_err("event ring of the `calls` edge was closed"),
             default(wait) => Ok(CoreEvent::Tick),
         }
     }
 
-    /// Handles one event. Tells whether the core asked to exit.
+    /// Processes one event. Returns whether the core requested the exit.
     fn step(&mut self, event: CoreEvent) -> bool {
         let now = self.clock.now();
         self.core.handle(now, event, &mut self.outbox);
@@ -115,7 +116,7 @@
         exits
     }
 
-    /// Hands an action to its edge. Tells whether it is the exit.
+    /// Passes an action to its edge. Returns whether it is the exit.
     fn carry_out(&mut self, action: CoreAction) -> bool {
         match action {
             CoreAction::Call(_) | CoreAction::Target(_) | CoreAction::Status { .. } => {
--- a/crates/beechsaddle/src/router/core_rings.rs
+++ b/crates/beechsaddle/src/router/core_rings.rs
@@ -4,18 +4,19 @@
 
 use beechsaddle_core::prelude::*;
 
-/// Events of calls that may wait for the core. The calls edge refuses what does not fit.
-const CALL_RING: usize = 4_096;
+/// Capacity of the ring of the calls edge, which refuses what does not fit.
+const CALL_RING_SLOTS: usize = 4_096;
 
-/// Platform replies that may wait. Above the platform edge's bound of calls in flight, so that a
-/// reply always fits: a lost reply would leave its duty waiting for ever.
-pub const PLATFORM_RING: usize = 8_192;
+/// Capacity of the ring for platform replies. Above the platform edge's limit of calls in flight,
+/// so that a reply always fits: after a lost reply its duty would wait forever.
+pub const PLATFORM_RING_SLOTS: usize = 8_192;
 
-/// Messages of peers that may wait. What does not fit is dropped and counted, as if lost on the way.
-const PEER_RING: usize = 4_096;
+/// Capacity of the ring for messages of peers. Messages that do not fit are dropped and counted, as
+/// if lost in the network.
+const PEER_RING_SLOTS: usize = 4_096;
 
-/// Drain requests that may wait; one is enough.
-const CONTROL_RING: usize = 4;
+/// Capacity of the ring for drain requests; one is enough.
+const CONTROL_RING_SLOTS: usize = 4;
 
 /// One ring into the core.
 pub struct EventRing {
@@ -35,24 +36,23 @@
 /// The rings into the core, one for each edge: a flood of calls must not crowd out the platform's
 /// replies or the peers' messages, without which no call can end.
 pub struct CoreRings {
-    /// From the calls edge.
+    /// Ring of the calls edge.
     pub calls: EventRing,
-    /// From the platform edge.
+    /// Ring of the platform edge.
     pub platform: EventRing,
-    /// From the peers edge.
+    /// Ring of the peers edge.
     pub peers: EventRing,
-    /// From the process itself.
+    /// Ring of the process itself.
     pub control: EventRing,
 }
 
 impl CoreRings {
-    /// Empty rings.
     pub fn new() -> Self {
         CoreRings {
-            calls: EventRing::with_capacity(CALL_RING),
-            platform: EventRing::with_capacity(PLATFORM_RING),
-            peers: EventRing::with_capacity(PEER_RING),
-            control: EventRing::with_capacity(CONTROL_RING),
+            calls: EventRing::with_capacity(CALL_RING_SLOTS),
+            platform: EventRing::with_capacity(PLATFORM_RING_SLOTS),
+            peers: EventRing::with_capacity(PEER_RING_SLOTS),
+            control: EventRing::with_capacity(CONTROL_RING_SLOTS),
         }
     }
 }
--- a/crates/beechsaddle/src/router/process.rs
+++ b/crates/beechsaddle/src/router/process.rs
@@ -23,26 +23,30 @@
 ///
 /// # Errors
 ///
-/// When an address is taken, a thread cannot be started, or the core's thread panicked.
+/// If an address is in use, a thread cannot be started, or the core's thread panicked.
 pub fn run(settings: &RouterSettings) -> Result<()> {
     let clock = ClockSource::of_process();
-    let me = RouterIncarnation::new(settings.host.clone(), clock.now().as_millis());
-    let setup = RouterSetup::new(settings, me.clone());
+    let own_incarnation = RouterIncarnation::new(settings.host.clone(), clock.now().as_millis());
+    let setup = RouterSetup::new(settings, own_incarnation.clone());
     let rings = CoreRings::new();
     shutdown_signals::watch(rings.control.sender.clone())?;
     let (report, report_thread) =
-        ReportEdge::try_start(setup.report()).wrap_err("cannot start reports")?;
+        ReportEdge::try_start(setup.report()).wrap_err("cannot start the report edge")?;
     let edges = EdgeHandles {
-        platform: PlatformEdge::try_start(&setup.platform(), &me, rings.platform.sender)
-            .wrap_err("cannot start the platform's client")?,
+        platform: PlatformEdge::try_start(
+            &setup.platform(),
+            &own_incarnation,
+            rings.platform.sender,
+        )
+        .wrap_err("cannot start the platform's client")?,
         peers: PeersEdge::try_start(
             setup.try_peers()?,
-            me.clone(),
+            own_incarnation.clone(),
             rings.peers.sender,
             report.clone(),
         )
         .wrap_err("cannot listen for peers")?,
-        calls: CallsEdge::try_start(setup.calls(), me.clone(), rings.calls.sender)
+        calls: CallsEdge::try_start(setup.calls(), own_incarnation.clone(), rings.calls.sender)
             .wrap_err("cannot listen for callers")?,
         report,
     };
@@ -61,7 +65,7 @@
         .name("core".to_owned())
         .spawn(move || core_loop.run(&sources))
         .wrap_err("cannot start the core's thread")?;
-    // Without its core the process can end no call; it must not linger and look alive.
+    // Without its core the process cannot end any call, so it exits instead of appearing alive.
     let edges = thread
         .join()
         .map_err(|_| eyre!("the core's thread panicked"))??;
@@ -71,11 +75,11 @@
         peers,
         report,
     } = edges;
-    // The core has let go the last parts of all answers; slow callers may still be reading them.
+    // The core has released the last parts of all answers; slow callers may still be reading them.
     calls.stop(Duration::from_millis(settings.limits.drain_ms));
     peers.stop();
     drop(platform);
-    // The report thread ends with its last handle and then has written every line.
+    // The report thread ends with its last handle, after it has written every line.
     drop(report);
     let _ = report_thread.join();
     Ok(())
--- a/crates/beechsaddle/src/router/router_setup.rs
+++ b/crates/beechsaddle/src/router/router_setup.rs
@@ -24,28 +24,30 @@
 use crate::report::ReportOptions;
 use crate::settings::RouterSettings;
 
-/// Thousandths in a hundredth.
 const PERMILLE_PER_PERCENT: u64 = 10;
 
-/// How many writes of a journal a folding into the ledger takes in. Folding each one would make a
-/// ledger write of every journal write.
-const FOLD_JOURNALS: u64 = 5;
+/// Number of journal periods per fold into the ledger. Folding at each period would cause one
+/// ledger write for every journal write.
+const JOURNAL_PERIODS_PER_FOLD: u64 = 5;
 
-/// Turns settings into options.
+/// Converts settings into options.
 pub struct RouterSetup<'a> {
     settings: &'a RouterSettings,
-    me: RouterIncarnation,
+    own_incarnation: RouterIncarnation,
 }
 
 impl<'a> RouterSetup<'a> {
-    /// The setup of one life of a router.
-    pub fn new(settings: &'a RouterSettings, me: RouterIncarnation) -> Self {
-        RouterSetup { settings, me }
+    /// Creates the setup of one incarnation of a router.
+    pub fn new(settings: &'a RouterSettings, own_incarnation: RouterIncarnation) -> Self {
+        RouterSetup {
+            settings,
+            own_incarnation,
+        }
     }
 
     /// Options of logs and metrics.
     pub fn report(&self) -> ReportOptions {
-        let mut options = ReportOptions::new(self.me.to_string());
+        let mut options = ReportOptions::new(self.own_incarnation.to_string());
         options.level = self.settings.log.level;
         options.statsd = self.settings.metrics.statsd;
         options.prefix.clone_from(&self.settings.metrics.prefix);
@@ -63,10 +65,10 @@
     ///
     /// # Errors
     ///
-    /// When the shared secret is too short.
+    /// If the shared secret is too short.
     pub fn try_peers(&self) -> Result<PeersOptions> {
         let auth = PeerAuth::try_new(self.settings.peers.secret.reveal())
-            .ok_or_else(|| eyre!("the peers' secret is too short"))?;
+            .ok_or_else(|| eyre!("the shared secret of the peers is too short"))?;
         Ok(PeersOptions::new(self.settings.peer_address, auth))
     }
 
@@ -92,10 +94,10 @@
     /// Options of the core.
     pub fn core(&self) -> RouterOptions {
         RouterOptions {
-            me: self.me.clone(),
+            me: self.own_incarnation.clone(),
             domain: self.settings.domain.clone(),
             peer_address: self.settings.peer_address.to_string(),
-            seed: stable_hash(self.me.to_string()),
+            seed: stable_hash(self.own_incarnation.to_string()),
             layout: FleetLayout {
                 ledger_shards: self.settings.budgets.ledger_shards,
                 dedup_shards: self.settings.budgets.dedup_shards,
@@ -133,7 +135,7 @@
             endurance_ms: budgets.endurance_ms,
             endurance_share_permille: budgets.endurance_share_permille,
             journal_period_ms: budgets.journal_period_ms,
-            fold_period_ms: budgets.journal_period_ms * FOLD_JOURNALS,
+            fold_period_ms: budgets.journal_period_ms * JOURNAL_PERIODS_PER_FOLD,
             idle_return_ms: budgets.idle_grant_ms,
             ..AccountingOptions::default()
         }
@@ -200,7 +202,7 @@
     }
 }
 
-/// Settings are bounded far below; a larger number would only mean "no limit" all the same.
+/// Settings are bounded far below the maximum; a larger number would mean "no limit" in any case.
 fn to_usize(number: u64) -> usize {
     usize::try_from(number).unwrap_or(usize::MAX)
 }
--- a/crates/beechsaddle/src/router/shutdown_signals.rs
+++ b/crates/beechsaddle/src/router/shutdown_signals.rs
@@ -1,4 +1,4 @@
-//! The `shutdown_signals` module provides the reaction to SIGTERM and SIGINT.
+//! The `shutdown_signals` module provides the handling of SIGTERM and SIGINT.
 
 use std::thread;
 
@@ -9,27 +9,28 @@
 
 use beechsaddle_core::prelude::*;
 
-/// The exit status after a second signal: open calls were cut.
-pub const EXIT_CUT: i32 = 3;
+/// Exit status after a second signal, which aborts open calls.
+pub const EXIT_CALLS_ABORTED: i32 = 3;
 
-/// Turns the first SIGTERM or SIGINT into a graceful shutdown. The second ends the process at once:
-/// an operator who signals twice wants it gone and accepts cut calls, whose bills the journal and
-/// the witnesses still hold.
+/// Turns the first SIGTERM or SIGINT into a graceful shutdown. The second one ends the process at
+/// once: the operator accepts aborted calls, whose bills are still held by the journal and the
+/// backup routers.
 pub fn watch(control: Sender<CoreEvent>) -> Result<()> {
-    let mut signals = Signals::new([SIGTERM, SIGINT]).wrap_err("cannot watch signals")?;
+    let mut signals =
+        Signals::new([SIGTERM, SIGINT]).wrap_err("cannot register signal handlers")?;
     let watcher = move || {
         for count in signals.forever().enumerate().map(|(count, _)| count) {
             match count {
                 0 => {
                     let _ = control.try_send(CoreEvent::Drain);
                 }
-                _ => std::process::exit(EXIT_CUT),
+                _ => std::process::exit(EXIT_CALLS_ABORTED),
             }
         }
     };
     thread::Builder::new()
         .name("signals".to_owned())
         .spawn(watcher)
-        .wrap_err("cannot start")?;
+        .wrap_err("cannot start the signal thread")?;
     Ok(())
 }
--- a/crates/beechsaddle/tests/calls_bad_input.rs
+++ b/crates/beechsaddle/tests/calls_bad_input.rs
@@ -1,7 +1,7 @@
 //! Tests of requests that the edge refuses by itself.
 //!
-//! Callers send what no well-meaning program would. Each gets a clear answer with a reason, the
-//! core is told so that it is counted, no call reaches the core, and the router goes on serving.
+//! Malformed or oversized requests get an answer with a reason, are reported to the core to be
+//! counted, reach the core as no call, and leave the router serving.
 
 mod calls_support;
 
@@ -11,38 +11,38 @@
 use beechsaddle_core::prelude::*;
 use calls_support::*;
 
-/// Sends a request that must be refused, and checks that the next one is taken.
-fn expect_refusal(request: impl AsRef<[u8]>, status: u16, reason: RefusalReason, word: &str) {
+/// Sends a request that must be refused, and checks that the next one is accepted.
+fn expect_refusal(request: impl AsRef<[u8]>, status: u16, reason: RefusalReason, expected: &str) {
     let core = FakeCore::start();
     let answer = exchange(core.address(), request);
     assert_eq!(answer.status, status, "{answer:?}");
     assert!(answer.body.contains(reason.as_str()), "{answer:?}");
-    assert!(answer.body.contains(word), "{answer:?}");
+    assert!(answer.body.contains(expected), "{answer:?}");
     assert!(answer.body.contains("\"ran\":\"no\""), "{answer:?}");
     assert_eq!(core.next_rejection(), reason);
     let _caller = RawCaller::send(core.address(), chat_call("", false));
     core.next_arrival();
 }
 
-fn expect_bad_body(body: impl AsRef<[u8]>, word: &str) {
+fn expect_bad_body(body: impl AsRef<[u8]>, expected: &str) {
     let mut request = chat_head("", body.as_ref().len()).into_bytes();
     request.extend_from_slice(body.as_ref());
-    expect_refusal(request, 400, RefusalReason::BadRequest, word);
+    expect_refusal(request, 400, RefusalReason::BadRequest, expected);
 }
 
-fn expect_bad_member(member: &str, word: &str) {
+fn expect_bad_member(member: &str, expected: &str) {
     let body = format!(
         "{{\"model\":\"m1\",{member},\"messages\":[{{\"role\":\"user\",\"content\":\"x\"}}]}}"
     );
-    expect_bad_body(body, word);
+    expect_bad_body(body, expected);
 }
 
-fn expect_bad_header(extra: &str, word: &str) {
+fn expect_bad_header(extra: &str, expected: &str) {
     expect_refusal(
         chat_call(extra, false),
         400,
         RefusalReason::BadRequest,
-        word,
+        expected,
     );
 }
 
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn budget_name_unfit() {
+fn budget_name_invalid() {
     for text in ["", "a b", "a/b", "\u{e9}", &"b".repeat(65)] {
         let extra = format!("beechsaddle-budget: {text}\r\n");
         expect_bad_header(&extra, "beechsaddle-budget must");
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn idempotency_key_unfit() {
+fn idempotency_key_invalid() {
     let long = format!("idempotency-key: {}\r\n", "k".repeat(129));
     expect_bad_header(&long, "idempotency-key must");
     expect_bad_header("idempotency-key: k\u{e9}\r\n", "printable ASCII");
@@ -198,8 +198,8 @@
 #[test]
 fn body_too_large() {
     // The caller writes its whole body before it reads. The router refuses at the head, reads on
-    // within bounds and closes only then; a close with unread bytes would reset the connection,
-    // and the caller would fail in writing instead of seeing the 413.
+    // within limits and closes only then; closing with unread bytes would reset the connection, and
+    // the caller would fail in writing instead of reading the 413.
     let options = CallsOptions {
         body_bytes: 1_000,
         ..CallsOptions::default()
@@ -246,14 +246,14 @@
     let caller = RawCaller::send(core.address(), chat_head("", 50) + "{\"model\"");
     caller.hang_up();
     assert_eq!(core.next_rejection(), RefusalReason::BadRequest);
-    core.expect_silence(Duration::from_millis(50));
+    core.expect_no_event(Duration::from_millis(50));
     assert_eq!(core.handle.open_calls(), 0);
     let _caller = RawCaller::send(core.address(), chat_call("", false));
     core.next_arrival();
 }
 
 #[test]
-fn path_unfit() {
+fn path_invalid() {
     let reason = RefusalReason::BadRequest;
     for path in ["/a/../b", "/%2e%2E/b", "/./b", "/a/.%2e"] {
         expect_refusal(
--- a/crates/beechsaddle/tests/calls_cost.rs
+++ b/crates/beechsaddle/tests/calls_cost.rs
@@ -1,6 +1,7 @@
-//! Measurements of what the edge costs; run by hand, they print and hardly check.
+//! Measurements of the edge's cost; run by hand, mostly without assertions.
 //!
-//! `cargo test --release -p beechsaddle --test calls_cost -- --ignored --nocapture --test-threads 1`
+//! `cargo test --release -p beechsaddle --test calls_cost -- --ignored --nocapture --test-threads
+//! 1`
 
 mod calls_support;
 
@@ -17,13 +18,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Streams at a time, and events of each a second: together the share of one node at the size
-/// that `docs/CAPACITY.md` is made for (3.5 million tokens a second over 450 nodes).
+/// Concurrent streams, and the interval and number of events of each: together the share of one
+/// node at the size in `docs/CAPACITY.md` (3.5 million tokens per second over 450 nodes).
 const STREAMS: usize = 300;
-const EVENT_SPAN: Duration = Duration::from_millis(40);
+const EVENT_INTERVAL: Duration = Duration::from_millis(40);
 const EVENTS: usize = 125;
 
-/// Processor time of the edge's threads so far.
+/// Processor time used by the edge's threads so far.
 fn edge_time() -> Duration {
     let mut ticks = 0_u64;
     for task in fs::read_dir("/proc/self/task").expect("tasks").flatten() {
@@ -52,7 +53,7 @@
         .expect("a number")
 }
 
-/// A core that sends every call to `target` and lets every answer go.
+/// Runs a core that dispatches every call to `target` and releases every answer.
 fn run_core(core: Arc<FakeCore>, target: SocketAddr, stop: Arc<AtomicBool>) {
     while !stop.load(Ordering::Relaxed) {
         let Ok(event) = core.events.recv_timeout(Duration::from_millis(20)) else {
@@ -83,14 +84,14 @@
     let chunk = format!("{:x}\r\n{event}\r\n", event.len());
     for _ in 0..EVENTS {
         let _ = stream.write_all(chunk.as_bytes()).await;
-        tokio::time::sleep(EVENT_SPAN).await;
+        tokio::time::sleep(EVENT_INTERVAL).await;
     }
     let tail = usage_event(5, EVENTS as u64) + DONE_EVENT;
     let end = format!("{:x}\r\n{tail}\r\n0\r\n\r\n", tail.len());
     let _ = stream.write_all(end.as_bytes()).await;
 }
 
-async fn read_stream(address: SocketAddr, index: usize, whole: Arc<AtomicUsize>) {
+async fn read_stream(address: SocketAddr, index: usize, complete: Arc<AtomicUsize>) {
     tokio::time::sleep(Duration::from_millis(3 * index as u64)).await;
     let mut stream = TcpStream::connect(address)
         .await
@@ -108,11 +109,11 @@
             _ => return,
         }
         if last.ends_with(b"0\r\n\r\n") {
-            whole.fetch_add(1, Ordering::Relaxed);
+            complete.fetch_add(1, Ordering::Relaxed);
             return;
         }
-        let keep = last.len().saturating_sub(8);
-        last.drain(..keep);
+        let surplus = last.len().saturating_sub(8);
+        last.drain(..surplus);
     }
 }
 
@@ -137,11 +138,11 @@
     });
     let stop = Arc::new(AtomicBool::new(false));
     let (core_of_thread, stop_of_thread) = (Arc::clone(&core), Arc::clone(&stop));
-    let deciding = thread::spawn(move || run_core(core_of_thread, target, stop_of_thread));
-    let whole = Arc::new(AtomicUsize::new(0));
+    let core_thread = thread::spawn(move || run_core(core_of_thread, target, stop_of_thread));
+    let complete = Arc::new(AtomicUsize::new(0));
     let (before, start, size) = (edge_time(), Instant::now(), resident_kib());
     let callers: Vec<_> = (0..STREAMS)
-        .map(|index| runtime.spawn(read_stream(core.address(), index, Arc::clone(&whole))))
+        .map(|index| runtime.spawn(read_stream(core.address(), index, Arc::clone(&complete))))
         .collect();
     thread::sleep(Duration::from_secs(3));
     let full_size = resident_kib();
@@ -150,19 +151,19 @@
     }
     let (spent, span) = (edge_time() - before, start.elapsed());
     stop.store(true, Ordering::Relaxed);
-    deciding.join().expect("the core ends");
+    core_thread.join().expect("the core ends");
     let events = STREAMS * EVENTS;
     println!(
         "streams={STREAMS} whole={} events={events} span_ms={} edge_cpu_ms={} us_per_event={:.1} \
          share_of_core={:.3} kib_per_stream_with_both_ends={}",
-        whole.load(Ordering::Relaxed),
+        complete.load(Ordering::Relaxed),
         span.as_millis(),
         spent.as_millis(),
         spent.as_secs_f64() * 1e6 / events as f64,
         spent.as_secs_f64() / span.as_secs_f64(),
         full_size.saturating_sub(size) / STREAMS as u64,
     );
-    assert_eq!(whole.load(Ordering::Relaxed), STREAMS);
+    assert_eq!(complete.load(Ordering::Relaxed), STREAMS);
 }
 
 #[test]
@@ -183,7 +184,7 @@
     let stop = Arc::new(AtomicBool::new(false));
     let (core_of_thread, stop_of_thread) = (Arc::clone(&core), Arc::clone(&stop));
     let address = target.address;
-    let deciding = thread::spawn(move || run_core(core_of_thread, address, stop_of_thread));
+    let core_thread = thread::spawn(move || run_core(core_of_thread, address, stop_of_thread));
     let before = edge_time();
     let start = Instant::now();
     let callers: Vec<_> = (0..CALLERS)
@@ -209,7 +210,7 @@
     }
     let (spent, span) = (edge_time() - before, start.elapsed());
     stop.store(true, Ordering::Relaxed);
-    deciding.join().expect("the core ends");
+    core_thread.join().expect("the core ends");
     spans.sort_unstable();
     let count = spans.len();
     println!(
--- a/crates/beechsaddle/tests/calls_drain.rs
+++ b/crates/beechsaddle/tests/calls_drain.rs
@@ -1,4 +1,4 @@
-//! Tests of shutting down.
+//! Tests of the edge's shutdown.
 
 mod calls_support;
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// A target that streams an event each 100 ms for `ticks` events.
+/// Starts a target that streams an event every 100 ms for `ticks` events.
 fn slow_target(ticks: u64) -> RawTarget {
     RawTarget::start(move |connection| {
         connection.read_request();
@@ -32,7 +32,8 @@
     })
 }
 
-/// Drains while a stream of `ticks` tenths of a second runs, and checks that it is whole.
+/// Drains while a stream of `ticks` times 100 ms runs, and checks that the caller receives all of
+/// it.
 fn drain_around(ticks: u64) {
     let target = slow_target(ticks);
     let core = FakeCore::start_with(short_grace(), 64);
@@ -55,31 +56,31 @@
     };
     assert_eq!(end, AnswerEnd::Complete);
     core.act(CallAction::Finish { call });
-    let (text, rest) = reading.join().expect("a reader");
+    let (text, remaining) = reading.join().expect("a reader");
     assert_eq!(text.matches("\"a\"").count() as u64, ticks - 1);
     assert!(text.contains("[DONE]"));
-    assert_eq!(rest, (String::new(), RawEnd::Closed));
-    assert_eq!(core.handle.stop(PATIENCE), 0, "a connection was cut");
+    assert_eq!(remaining, (String::new(), RawEnd::Closed));
+    assert_eq!(core.handle.stop(WAIT_LIMIT), 0, "a connection was cut");
 }
 
 #[test]
-fn drain_stream_goes_on() {
-    // The router stops accepting while an answer is streamed, for longer than idle connections
-    // stay open. The answer must come whole, and the connection closes after it.
+fn drain_stream_continues() {
+    // The router stops accepting while an answer is streamed for longer than idle connections stay
+    // open. The answer must arrive completely, and the connection closes after it.
     drain_around(8);
 }
 
 #[test]
 fn drain_stream_beyond_library_limit() {
-    // The library's own server ends 30 s after a signal with connections open, which would cut
-    // every longer stream. The edge must not.
+    // The library's own server ends 30 s after a signal even with connections open, which would
+    // truncate every longer stream. The edge must not.
     drain_around(330);
 }
 
 #[test]
 fn drain_new_call_on_open_connection() {
-    // A caller sends on a connection that it kept, just when the router stops accepting. It gets
-    // an honest refusal and is told to go elsewhere, instead of a closed connection.
+    // A caller sends on an idle connection just as the router stops accepting. It gets a refusal
+    // with a retry time instead of a closed connection.
     let core = FakeCore::start_with(short_grace(), 64);
     let request = "GET /healthz HTTP/1.1\r\nhost: router\r\n\r\n";
     let mut caller = RawCaller::send(core.address(), request);
@@ -104,12 +105,12 @@
 fn drain_listener_closes() {
     let core = FakeCore::start_with(short_grace(), 64);
     core.act(CallAction::StopAccepting);
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_LIMIT;
     while TcpStream::connect(core.address()).is_ok() {
         assert!(Instant::now() < deadline, "the listener stays open");
         std::thread::sleep(Duration::from_millis(5));
     }
-    TcpStream::connect(core.handle.admin_address()).expect("operators can still ask");
+    TcpStream::connect(core.handle.admin_address()).expect("operators can still connect");
 }
 
 #[test]
@@ -122,11 +123,11 @@
     let start = Instant::now();
     assert_eq!(caller.read_end().1, RawEnd::Closed);
     assert!(start.elapsed() >= Duration::from_millis(200));
-    assert_eq!(core.handle.stop(PATIENCE), 0);
+    assert_eq!(core.handle.stop(WAIT_LIMIT), 0);
 }
 
 #[test]
-fn stop_cuts_what_stays() {
+fn stop_cuts_remaining_connections() {
     let target = slow_target(100);
     let core = FakeCore::start_with(short_grace(), 64);
     let mut caller = RawCaller::send(core.address(), chat_call("", true));
--- a/crates/beechsaddle/tests/calls_library.rs
+++ b/crates/beechsaddle/tests/calls_library.rs
@@ -1,4 +1,5 @@
-//! Tests of what the edge relies on in the HTTP library; they tell when an update changes it.
+//! Tests of the HTTP library's behaviour that the edge relies on; they fail if an update changes
+//! it.
 
 mod calls_support;
 
@@ -28,7 +29,7 @@
     let error = run(async {
         let client = Client::builder().build().expect("a client");
         let sending = client.get("/").address(address).send::<Body>();
-        sending.await.expect_err("nobody listens")
+        sending.await.expect_err("no listener at the address")
     });
     assert_eq!(*error.kind(), ErrorKind::Request);
     assert!(
@@ -55,7 +56,7 @@
         let client: Client = builder.build().expect("a client");
         let sending = client.get("/").address(target.address).send::<Body>();
         let answer = sending.await.expect("a head");
-        answer.into_body().collect().await.expect("a whole body")
+        answer.into_body().collect().await.expect("a complete body")
     });
     assert_eq!(body.to_bytes(), "xxxx");
 }
--- a/crates/beechsaddle/tests/calls_limits.rs
+++ b/crates/beechsaddle/tests/calls_limits.rs
@@ -12,8 +12,8 @@
 
 #[test]
 fn connections_beyond_limit() {
-    // More callers connect than the router has room for. The ones beyond are told so at once and
-    // closed, instead of waiting in a queue; when one leaves there is room again.
+    // Callers beyond the connection limit are refused and closed at once instead of waiting in a
+    // queue; closing a connection makes room again.
     let options = CallsOptions {
         max_connections: 2,
         ..CallsOptions::default()
@@ -30,7 +30,7 @@
     assert_eq!(core.next_rejection(), RefusalReason::Overloaded);
     first.hang_up();
     core.next_event();
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_LIMIT;
     while core.handle.open_connections() > 1 {
         assert!(Instant::now() < deadline, "the connection stays open");
         std::thread::sleep(Duration::from_millis(2));
@@ -39,11 +39,11 @@
     core.next_arrival();
 }
 
-/// Sends a byte now and then until the connection is closed, and tells how long that took.
+/// Sends a byte every 20 ms until the connection is closed, and returns how long that took.
 fn drip_until_closed(core: &FakeCore, caller: &mut RawCaller) -> Duration {
     let start = Instant::now();
     while core.handle.open_connections() > 0 {
-        assert!(start.elapsed() < PATIENCE, "the connection stays open");
+        assert!(start.elapsed() < WAIT_LIMIT, "the connection stays open");
         let _ = caller.stream.write_all(b"G");
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -52,9 +52,9 @@
 
 #[test]
 fn head_dripping() {
-    // A caller sends one byte of its head now and then, never the end, to hold a connection for
-    // ever. The time for a head runs from its first byte, so that dripping does not stretch it,
-    // and it is far shorter than the time that an idle connection may stay.
+    // A caller sends its head byte by byte without end, to occupy a connection. The time limit runs
+    // from the first byte of the head, so slow sending does not extend it, and it is far shorter
+    // than the time-out of idle connections.
     let options = CallsOptions {
         head_timeout_ms: 200,
         idle_timeout_ms: 60_000,
@@ -69,9 +69,9 @@
 }
 
 #[test]
-fn head_dripping_on_kept_connection() {
-    // The same after a call that took longer than a head may take: neither the time of the call
-    // nor that of waiting for the next counts, but the next head's own does.
+fn head_dripping_on_reused_connection() {
+    // The same after calls that took longer than the time limit of a head: neither the time of the
+    // call nor the wait for the next one counts, only the time of the next head.
     let options = CallsOptions {
         head_timeout_ms: 200,
         idle_timeout_ms: 60_000,
@@ -106,8 +106,8 @@
 
 #[test]
 fn bodies_beyond_memory() {
-    // Many callers send large bodies at a time, each within its own limit. Beyond the common
-    // limit a caller is refused for the moment, and the memory comes back with the calls.
+    // Many callers send large bodies at the same time, each within its own limit. Beyond the common
+    // limit a caller is refused, and the memory is released with the calls.
     let options = CallsOptions {
         body_memory_bytes: 64 * 1_024,
         ..CallsOptions::default()
@@ -132,11 +132,11 @@
 
 #[test]
 fn ring_full() {
-    // The core is behind and its ring is full. A new call is refused at once as not run; the end
-    // of a call that the core knows of waits for room instead of being lost.
+    // The core's ring is full. A new call is refused at once as not run; the end event of a call
+    // known to the core waits for room instead of being lost.
     let core = FakeCore::start_with(CallsOptions::default(), 1);
     let first = RawCaller::send(core.address(), chat_call("", false));
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_LIMIT;
     while core.events.is_empty() {
         assert!(Instant::now() < deadline, "no arrival");
         std::thread::sleep(Duration::from_millis(2));
@@ -157,8 +157,8 @@
 
 #[test]
 fn actions_beyond_ring() {
-    // The core sends a call far more actions than it can have use for. The call must end as
-    // broken instead of missing one of them and waiting for ever.
+    // The core sends a call far more actions than its ring holds. The call must end as broken
+    // instead of missing an action and waiting forever.
     let core = FakeCore::start();
     let target = RawTarget::start(|connection| {
         connection.read_request();
--- a/crates/beechsaddle/tests/calls_path.rs
+++ b/crates/beechsaddle/tests/calls_path.rs
@@ -1,4 +1,4 @@
-//! Tests of calls that go well.
+//! Tests of successful calls.
 
 mod calls_support;
 
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn chat_usage_asked_for() {
+fn chat_usage_requested() {
     let target = stream_target();
     let core = FakeCore::start();
     let body = "{\"model\":\"m1\",\"stream\":true,\"stream_options\":{\"include_usage\":true},\
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn chat_whole() {
+fn chat_buffered() {
     let target = RawTarget::start(|connection| {
         while connection.read_request().is_some() {
             connection.answer(
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn refusal_of_core() {
+fn refusal_by_core() {
     let core = FakeCore::start();
     let mut caller = RawCaller::send(core.address(), chat_call("", true));
     let call = core.next_arrival().call;
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn health_as_told() {
+fn health_follows_set_serving() {
     let core = FakeCore::start();
     let request = "GET /healthz HTTP/1.1\r\nhost: router\r\n\r\n";
     assert_eq!(exchange(core.address(), request).status, 503);
--- a/crates/beechsaddle/tests/calls_probes.rs
+++ b/crates/beechsaddle/tests/calls_probes.rs
@@ -29,7 +29,7 @@
 }
 
 fn next_target_event(core: &FakeCore) -> TargetEvent {
-    match core.events.recv_timeout(PATIENCE).expect("an event") {
+    match core.events.recv_timeout(WAIT_LIMIT).expect("an event") {
         CoreEvent::Target(event) => event,
         event => panic!("unexpected {event:?}"),
     }
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn probe_silent_target() {
+fn probe_unresponsive_target() {
     let target = RawTarget::start(|connection| connection.await_close());
     let core = FakeCore::start();
     let TargetEvent::Probed { outcome, .. } = probe(&core, &target, None) else {
@@ -159,7 +159,7 @@
     let core = FakeCore::start();
     let request = "GET /admin/status HTTP/1.1\r\nhost: router\r\n\r\n";
     let mut operator = RawCaller::send(core.handle.admin_address(), request);
-    let CoreEvent::StatusQuery { query } = core.events.recv_timeout(PATIENCE).expect("an event")
+    let CoreEvent::StatusQuery { query } = core.events.recv_timeout(WAIT_LIMIT).expect("an event")
     else {
         panic!("expected a status query");
     };
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn status_of_silent_core() {
+fn status_of_unresponsive_core() {
     let core = FakeCore::start();
     let request = "GET /admin/status HTTP/1.1\r\nhost: router\r\n\r\n";
     assert_eq!(exchange(core.handle.admin_address(), request).status, 503);
--- a/crates/beechsaddle/tests/calls_streams.rs
+++ b/crates/beechsaddle/tests/calls_streams.rs
@@ -1,4 +1,4 @@
-//! Tests of answers that are relayed part by part.
+//! Tests of answers that are relayed while they arrive.
 
 mod calls_support;
 
@@ -15,7 +15,7 @@
 /// A quarter of the bytes of the prompt that `chat_call` sends, rounded up.
 const PROMPT_ESTIMATE: u64 = "user\nhello\n".len().div_ceil(4) as u64;
 
-/// Relays a stream that breaks off by `script` and checks that the caller sees it broken.
+/// Relays a stream that `script` truncates and checks that the caller sees it as broken.
 fn expect_truncated(script: impl Fn(&mut TargetConnection) + Send + Sync + 'static) -> TokenUsage {
     let target = RawTarget::start(script);
     let core = FakeCore::start();
@@ -34,8 +34,8 @@
 
 #[test]
 fn stream_cut_by_close() {
-    // The engine dies after two tokens. The caller has read them and must not take them for the
-    // whole answer: no [DONE], no last chunk, and the connection ends in a reset.
+    // The engine dies after two tokens. The caller must not take them for a complete answer: no
+    // [DONE], no last chunk, and the connection ends in a reset.
     let usage = expect_truncated(|connection| {
         connection.read_request();
         connection.start_chunked("text/event-stream");
@@ -54,8 +54,8 @@
 
 #[test]
 fn stream_ended_without_done() {
-    // The engine ends its body properly but never said [DONE], as when its worker died behind a
-    // front end that goes on. On the wire it looks whole; by the protocol it is not.
+    // The engine ends its body properly but without [DONE], as when a worker dies behind a front
+    // end that stays up. The HTTP body is complete; the event stream is not.
     expect_truncated(|connection| {
         connection.read_request();
         connection.start_chunked("text/event-stream");
@@ -98,8 +98,8 @@
 
 #[test]
 fn plain_short_of_length() {
-    // A plain service promises more bytes than it sends. What came has gone to the caller, who
-    // must see that the rest is missing.
+    // A plain service announces more bytes than it sends. The first part was already relayed, so
+    // the caller must see that the remainder is missing.
     let target = RawTarget::start(|connection| {
         connection.read_request();
         let part = "x".repeat(100_000);
@@ -119,8 +119,8 @@
 
 #[test]
 fn last_part_held_until_finish() {
-    // The answer is whole, but its usage is not safe yet: a router that dies now must not leave a
-    // caller with a whole answer that nobody bills. So the end waits for the core.
+    // The answer is complete, but its usage is not recorded yet. If the router died now, a caller
+    // that had the whole answer would not be billed, so the end waits for the core.
     let target = RawTarget::start(|connection| {
         connection.read_request();
         connection.start_chunked("text/event-stream");
@@ -145,7 +145,7 @@
     core.act(CallAction::Finish { call });
     caller
         .stream
-        .set_read_timeout(Some(PATIENCE))
+        .set_read_timeout(Some(WAIT_LIMIT))
         .expect("a timeout");
     caller.read_until("[DONE]");
     caller.read_until("\r\n0\r\n\r\n");
@@ -173,12 +173,12 @@
     assert_eq!(end, RawEnd::Open);
     assert!(text.len() < 200_000);
     core.act(CallAction::Finish { call });
-    let (rest, _) = caller.read_end();
-    assert_eq!(text.len() + rest.len(), 200_000);
+    let (remaining, _) = caller.read_end();
+    assert_eq!(text.len() + remaining.len(), 200_000);
 }
 
 #[test]
-fn abort_breaks_off() {
+fn abort_truncates_stream() {
     let target = RawTarget::start(|connection| {
         connection.read_request();
         connection.start_chunked("text/event-stream");
@@ -197,8 +197,8 @@
 
 #[test]
 fn events_split_anywhere() {
-    // The engine's events come in pieces of one byte. Nothing may be lost, doubled or let go
-    // early, and the usage must be found.
+    // The engine's events arrive in pieces of one byte. No event may be lost, duplicated or
+    // released early, and the usage must be found.
     let target = RawTarget::start(|connection| {
         connection.read_request();
         connection.start_chunked("text/event-stream");
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn progress_told() {
+fn progress_reported() {
     let target = RawTarget::start(|connection| {
         connection.read_request();
         connection.start_chunked("text/event-stream");
@@ -246,7 +246,7 @@
     let _caller = RawCaller::send(core.address(), chat_call("", true));
     core.dispatch_next(target.address);
     core.next_start();
-    let event = core.events.recv_timeout(PATIENCE).expect("an event");
+    let event = core.events.recv_timeout(WAIT_LIMIT).expect("an event");
     let CoreEvent::Call(CallEvent::AnswerProgress { usage, .. }) = event else {
         panic!("expected progress, got {event:?}");
     };
@@ -255,8 +255,8 @@
 
 #[test]
 fn caller_hangs_up_within_stream() {
-    // The caller closes after the first token. The engine must be told at once by the end of its
-    // connection, or it would go on generating for nobody; what was used is billed.
+    // The caller disconnects after the first token. The engine's connection must be closed at once,
+    // or the engine would go on generating without a reader; the tokens used are billed.
     let target = RawTarget::start(|connection| {
         connection.read_request();
         connection.start_chunked("text/event-stream");
@@ -303,8 +303,8 @@
 
 #[test]
 fn caller_hangs_up_before_dispatch() {
-    // The caller is gone before the core has decided. The dispatch that crosses the news must
-    // not be carried out: the core was told that nothing ran.
+    // The caller disconnects before the core has decided. A dispatch that crosses this event must
+    // not be carried out: the core was informed that nothing ran.
     let target = RawTarget::start(|connection| {
         connection.read_request();
     });
@@ -320,11 +320,11 @@
         }
     );
     core.act(dispatch(&call, 0, target.address));
-    core.expect_silence(Duration::from_millis(100));
+    core.expect_no_event(Duration::from_millis(100));
     assert_eq!(target.more_requests(), 0);
 }
 
-/// Starts a target that streams without end and counts what it could write.
+/// Starts a target that streams without end and counts the bytes written.
 fn flooding_target(written: Arc<AtomicUsize>, is_closed: Arc<AtomicBool>) -> RawTarget {
     RawTarget::start(move |connection| {
         connection.read_request();
@@ -345,9 +345,10 @@
 }
 
 #[test]
-fn slow_reader_slows_target() {
-    // The caller stops reading while the engine could send for ever. The engine must be held up
-    // by its own connection; otherwise the router would buffer the stream until it is killed.
+fn slow_reader_applies_back_pressure() {
+    // The caller stops reading while the engine could send without end. The engine must be slowed
+    // down by back-pressure on its own connection; otherwise the router would buffer the stream
+    // until it is killed.
     let written = Arc::new(AtomicUsize::new(0));
     let target = flooding_target(Arc::clone(&written), Arc::default());
     let core = FakeCore::start();
@@ -356,22 +357,22 @@
     core.next_start();
     caller.read_until("data:");
     let mut before = usize::MAX;
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_LIMIT;
     while written.load(Ordering::Relaxed) != before {
-        assert!(Instant::now() < deadline, "the target is never held up");
+        assert!(Instant::now() < deadline, "the target is never slowed down");
         before = written.load(Ordering::Relaxed);
         std::thread::sleep(Duration::from_millis(250));
     }
-    // Most of this is what the host's sockets hold, on both sides of the router.
-    let most = 24 * 1_024 * 1_024;
-    assert!(before < most, "{before} bytes were taken");
+    // Most of this is held by the host's socket buffers, on both sides of the router.
+    let limit = 24 * 1_024 * 1_024;
+    assert!(before < limit, "{before} bytes were taken");
     println!("taken from the target: {before} bytes");
 }
 
 #[test]
 fn stalled_reader_cut() {
-    // The caller never reads on. After a time without any progress its connection is cut, so that
-    // it cannot hold an engine's slot and a reservation for ever.
+    // The caller never reads on. After the time limit without progress its connection is closed, so
+    // that it cannot occupy an engine's slot and a reservation forever.
     let is_closed = Arc::new(AtomicBool::new(false));
     let target = flooding_target(Arc::default(), Arc::clone(&is_closed));
     let options = CallsOptions {
@@ -383,17 +384,17 @@
     core.dispatch_next(target.address);
     core.next_start();
     assert_eq!(core.next_end().0, AnswerEnd::CallerGone);
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_LIMIT;
     while !is_closed.load(Ordering::Relaxed) {
-        assert!(Instant::now() < deadline, "the target goes on");
+        assert!(Instant::now() < deadline, "the target keeps writing");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
 #[test]
-fn stream_goes_on_after_usage() {
-    // The caller asked for the usage; the engine reports it early and then sends on without end.
-    // What follows the usage is held back until the answer is done; it must not fill the router's
+fn stream_continues_after_usage() {
+    // The caller requested the usage; the engine reports it early and then sends on without end.
+    // Events after the usage are held back until the answer ends, and must not fill the router's
     // memory.
     let target = RawTarget::start(|connection| {
         connection.read_request();
--- a/crates/beechsaddle/tests/calls_support/fake_core.rs
+++ b/crates/beechsaddle/tests/calls_support/fake_core.rs
@@ -10,8 +10,8 @@
 use beechsaddle_core::prelude::*;
 use crossbeam_channel::Receiver;
 
-/// How long a test waits for what must happen.
-pub const PATIENCE: Duration = Duration::from_secs(4);
+/// Time limit for events that a test expects.
+pub const WAIT_LIMIT: Duration = Duration::from_secs(4);
 
 /// An edge whose core is the test.
 pub struct FakeCore {
@@ -19,7 +19,7 @@
     pub events: Receiver<CoreEvent>,
 }
 
-/// A dispatch that tests change where they need to.
+/// Returns a dispatch with default values.
 pub fn dispatch(call: &CallId, ordinal: u32, address: SocketAddr) -> CallAction {
     CallAction::Dispatch {
         attempt: attempt(call, ordinal),
@@ -32,7 +32,7 @@
     }
 }
 
-/// A dispatch of a call that may not be repeated.
+/// Returns a dispatch of a call that may not be repeated.
 pub fn dispatch_once(call: &CallId, address: SocketAddr) -> CallAction {
     match dispatch(call, 0, address) {
         CallAction::Dispatch {
@@ -69,8 +69,9 @@
 
     pub fn start_with(options: CallsOptions, ring_slots: usize) -> Self {
         let (sender, events) = crossbeam_channel::bounded(ring_slots);
-        let me = RouterIncarnation::new("host-a", 7);
-        let handle = CallsEdge::try_start(options, me, sender).expect("the edge starts");
+        let own_incarnation = RouterIncarnation::new("host-a", 7);
+        let handle =
+            CallsEdge::try_start(options, own_incarnation, sender).expect("the edge starts");
         FakeCore { handle, events }
     }
 
@@ -82,16 +83,20 @@
         self.handle.send(CoreAction::Call(action));
     }
 
-    /// The next call event other than progress.
+    /// Returns the next call event other than progress.
     pub fn next_event(&self) -> CallEvent {
-        self.next_event_within(PATIENCE)
+        self.next_event_within(WAIT_LIMIT)
     }
 
-    /// The same, for what takes longer.
+    /// Returns the next call event other than progress, with another time limit.
     pub fn next_event_within(&self, span: Duration) -> CallEvent {
         let deadline = Instant::now() + span;
         loop {
-            match self.events.recv_deadline(deadline).expect("an event comes") {
+            match self
+                .events
+                .recv_deadline(deadline)
+                .expect("an event arrives")
+            {
                 CoreEvent::Call(CallEvent::AnswerProgress { .. }) => {}
                 CoreEvent::Call(event) => return event,
                 event => panic!("unexpected {event:?}"),
@@ -99,8 +104,8 @@
         }
     }
 
-    /// Asserts that no event comes for `span`.
-    pub fn expect_silence(&self, span: Duration) {
+    /// Asserts that no event arrives for `span`.
+    pub fn expect_no_event(&self, span: Duration) {
         if let Ok(event) = self.events.recv_timeout(span) {
             panic!("unexpected {event:?}");
         }
@@ -141,7 +146,7 @@
         }
     }
 
-    /// Takes the next call, sends it to `target` and returns its id.
+    /// Takes the next call, dispatches it to `target` and returns its id.
     pub fn dispatch_next(&self, target: SocketAddr) -> CallId {
         let call = self.next_arrival().call;
         self.act(dispatch(&call, 0, target));
@@ -150,7 +155,7 @@
 
     /// Waits until no call is open.
     pub fn await_no_calls(&self) {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_LIMIT;
         while self.handle.open_calls() > 0 {
             assert!(Instant::now() < deadline, "a call stays open");
             std::thread::sleep(Duration::from_millis(2));
--- a/crates/beechsaddle/tests/calls_support/mod.rs
+++ b/crates/beechsaddle/tests/calls_support/mod.rs
@@ -1,5 +1,5 @@
 //! The `calls_support` module provides a scripted core, raw callers and raw targets.
-// Each test file is a program of its own and uses only a part of this module.
+// Each test file is a separate program and uses only a part of this module.
 #![allow(dead_code, unused_imports)]
 
 mod fake_core;
--- a/crates/beechsaddle/tests/calls_support/raw_caller.rs
+++ b/crates/beechsaddle/tests/calls_support/raw_caller.rs
@@ -3,7 +3,7 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-use super::PATIENCE;
+use super::WAIT_LIMIT;
 
 /// A caller's connection.
 pub struct RawCaller {
@@ -27,7 +27,7 @@
     Open,
 }
 
-/// The head of a chat call.
+/// Returns the head of a chat call.
 pub fn chat_head(extra: &str, length: usize) -> String {
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: router\r\nauthorization: Bearer key-1\r\n\
@@ -35,7 +35,7 @@
     )
 }
 
-/// A chat call with one message.
+/// Returns a chat call with one message.
 pub fn chat_call(extra: &str, stream: bool) -> String {
     let body = format!(
         "{{\"model\":\"m1\",\"stream\":{stream},\"max_tokens\":9,\
@@ -44,7 +44,7 @@
     chat_head(extra, body.len()) + &body
 }
 
-/// A call to the plain service `desk`.
+/// Returns a call to the plain service `desk`.
 pub fn plain_call(method: &str, path: &str, extra: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -56,7 +56,9 @@
 impl RawCaller {
     pub fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("the router accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+        stream
+            .set_read_timeout(Some(WAIT_LIMIT))
+            .expect("a timeout");
         RawCaller {
             stream,
             unread: Vec::new(),
@@ -81,8 +83,8 @@
         let mut buffer = [0_u8; 4_096];
         loop {
             let text = String::from_utf8_lossy(&self.unread).into_owned();
-            if let Some(place) = text.find(mark) {
-                let end = place + mark.len();
+            if let Some(offset) = text.find(mark) {
+                let end = offset + mark.len();
                 self.unread.drain(..end);
                 return text[..end].to_owned();
             }
@@ -97,7 +99,7 @@
     fn read_exactly(&mut self, length: usize) -> String {
         let mut buffer = [0_u8; 4_096];
         while self.unread.len() < length {
-            let count = self.stream.read(&mut buffer).expect("more bytes come");
+            let count = self.stream.read(&mut buffer).expect("more bytes arrive");
             assert!(count > 0, "closed within a body");
             self.unread.extend_from_slice(&buffer[..count]);
         }
@@ -105,7 +107,7 @@
         String::from_utf8(bytes).expect("text")
     }
 
-    /// Reads one whole answer, chunked or of known length.
+    /// Reads one answer, chunked or with a known length.
     pub fn read_answer(&mut self) -> RawAnswer {
         let head = self.read_until("\r\n\r\n").to_ascii_lowercase();
         let status = head[9..12].parse().expect("a status");
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Reads what is left and tells how the connection ended.
+    /// Reads the remaining data and returns it with the way the connection ended.
     pub fn read_end(&mut self) -> (String, RawEnd) {
         let mut buffer = [0_u8; 4_096];
         let end = loop {
@@ -151,13 +153,13 @@
     }
 }
 
-/// The value of a header in a lower-case head.
+/// Returns the value of a header in a lower-case head.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
 }
 
-/// Sends one request on a connection of its own and reads the answer.
+/// Sends one request on a new connection and reads the answer.
 pub fn exchange(address: SocketAddr, request: impl AsRef<[u8]>) -> RawAnswer {
     RawCaller::send(address, request).read_answer()
 }
--- a/crates/beechsaddle/tests/calls_support/raw_target.rs
+++ b/crates/beechsaddle/tests/calls_support/raw_target.rs
@@ -5,20 +5,20 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::thread;
 
-use super::PATIENCE;
+use super::WAIT_LIMIT;
 
-/// A target whose connections are handled by a script, each on a thread.
+/// A target that runs a script on one thread per connection.
 pub struct RawTarget {
     pub address: SocketAddr,
     requests: Receiver<String>,
 }
 
-/// One connection of the router's.
+/// A connection opened by the router.
 pub struct TargetConnection {
     pub stream: TcpStream,
-    /// Counts the connections from zero.
+    /// Index of the connection, from zero.
     pub index: usize,
-    /// How many requests were read from it.
+    /// Number of requests read from it.
     pub requests: usize,
     report: std::sync::mpsc::Sender<String>,
 }
@@ -49,29 +49,29 @@
         RawTarget { address, requests }
     }
 
-    /// The next request that arrived, whole.
+    /// Returns the next request that arrived.
     pub fn next_request(&self) -> String {
-        self.requests.recv_timeout(PATIENCE).expect("a request")
+        self.requests.recv_timeout(WAIT_LIMIT).expect("a request")
     }
 
-    /// How many further requests arrived.
+    /// Returns how many further requests arrived.
     pub fn more_requests(&self) -> usize {
         self.requests.try_iter().count()
     }
 }
 
 impl TargetConnection {
-    /// Reads a request; `None` when the router closed the connection.
+    /// Reads a request; `None` if the router closed the connection.
     pub fn read_request(&mut self) -> Option<String> {
         let mut bytes = Vec::new();
         let mut buffer = [0_u8; 4_096];
         loop {
             let text = String::from_utf8_lossy(&bytes).into_owned();
-            if let Some(place) = text.find("\r\n\r\n") {
-                let head = text[..place].to_ascii_lowercase();
+            if let Some(offset) = text.find("\r\n\r\n") {
+                let head = text[..offset].to_ascii_lowercase();
                 let length = super::header(&head, "content-length")
                     .map_or(0, |length| length.parse().expect("a length"));
-                if bytes.len() >= place + 4 + length {
+                if bytes.len() >= offset + 4 + length {
                     self.requests += 1;
                     let _ = self.report.send(text.clone());
                     return Some(text);
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Writes; false when the router closed the connection.
+    /// Writes bytes; false if the router closed the connection.
     pub fn write(&mut self, bytes: impl AsRef<[u8]>) -> bool {
         self.stream.write_all(bytes.as_ref()).is_ok()
     }
@@ -95,7 +95,7 @@
         while matches!(self.stream.read(&mut buffer), Ok(count) if count > 0) {}
     }
 
-    /// Tells the test that the connection was closed.
+    /// Reports to the test that the connection was closed.
     pub fn report_closed(&mut self) {
         let _ = self.report.send("closed".to_owned());
     }
@@ -123,22 +123,22 @@
     }
 }
 
-/// The value that a request sent by the router has in a header.
+/// Returns the value of a header in a request sent by the router.
 pub fn sent_header(request: &str, name: &str) -> Option<String> {
     super::header(&request.to_ascii_lowercase(), name).map(str::to_owned)
 }
 
-/// The attempt that a request names.
+/// Returns the attempt id of a request.
 pub fn sent_attempt(request: &str) -> String {
     sent_header(request, "beechsaddle-attempt").expect("an attempt")
 }
 
-/// An event of a streamed chat with one token.
+/// Returns an event of a streamed chat with one token.
 pub fn token_event(text: &str) -> String {
     format!("data: {{\"choices\":[{{\"delta\":{{\"content\":\"{text}\"}}}}]}}\n\n")
 }
 
-/// The event that carries the usage.
+/// Returns the event with the usage.
 pub fn usage_event(input: u64, output: u64) -> String {
     format!(
         "data: {{\"choices\":[],\"usage\":{{\"prompt_tokens\":{input},\
@@ -149,7 +149,7 @@
 /// The event that ends a streamed chat.
 pub const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// A whole chat answer.
+/// Returns a complete chat answer.
 pub fn chat_answer(input: u64, output: u64) -> String {
     format!(
         "{{\"choices\":[{{\"message\":{{\"content\":\"hi\"}}}}],\
--- a/crates/beechsaddle/tests/calls_targets.rs
+++ b/crates/beechsaddle/tests/calls_targets.rs
@@ -1,4 +1,4 @@
-//! Tests of targets that fail, before anything of their answer has gone to the caller.
+//! Tests of targets that fail before any part of their answer was sent to the caller.
 
 mod calls_support;
 
@@ -10,7 +10,7 @@
 use beechsaddle_core::prelude::*;
 use calls_support::*;
 
-/// Sends a chat to `target` and returns how the attempt failed.
+/// Dispatches a chat to a target that runs `script` and returns the failure of the attempt.
 fn failure_at(script: impl Fn(&mut TargetConnection) + Send + Sync + 'static) -> AttemptFailure {
     let target = RawTarget::start(script);
     let core = FakeCore::start();
@@ -21,9 +21,9 @@
 
 #[test]
 fn connect_refused() {
-    // Nothing listens at the target's address, so that the call is known not to have run. The
-    // library reports a failed connect as a failed request; taken at its word, every dead target
-    // would turn calls that did not run into calls of unknown outcome.
+    // Nothing listens at the target's address, so the call is known not to have run. The library
+    // reports a failed connect as a failed request; without a distinction, every dead target would
+    // turn calls that did not run into calls of unknown outcome.
     let free = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = free.local_addr().expect("an address");
     drop(free);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn connection_lost_within_whole_answer() {
+fn connection_lost_within_buffered_answer() {
     let failure = failure_at(|connection| {
         connection.read_request();
         connection.write("HTTP/1.1 200 OK\r\ncontent-length: 500\r\n\r\n{\"choices\"");
@@ -115,9 +115,9 @@
 }
 
 #[test]
-fn answer_of_unknown_end() {
-    // The target's body ends with its connection, so that a whole one and one cut off by a crash
-    // look the same. It must not go to the caller as if it were whole.
+fn answer_of_unknown_length() {
+    // The target's body ends with its connection, so a complete one and one truncated by a crash
+    // look the same. It must not be sent to the caller as complete.
     let target = RawTarget::start(|connection| {
         connection.read_request();
         connection.write("HTTP/1.1 200 OK\r\n\r\nhalf an ans");
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn server_error_of_once_only_call() {
+fn server_error_of_non_repeatable_call() {
     // A call that may not be repeated gets the target's 500: it ran, and this is its outcome.
     let target = RawTarget::start(|connection| {
         connection.read_request();
@@ -168,7 +168,7 @@
     );
 }
 
-/// Answers a request with the echo that lets the router keep the connection.
+/// Answers a request with the echo that lets the router reuse the connection.
 fn answer_with_echo(connection: &mut TargetConnection, request: &str, extra: &str, body: &str) {
     let attempt = sent_attempt(request);
     let extra = format!("beechsaddle-attempt: {attempt}\r\n{extra}");
@@ -177,10 +177,10 @@
 
 #[test]
 fn reused_connection_closes_under_request() {
-    // The target echoes attempts and keeps its connection from the second call on. The third call
-    // goes over it; the target reads it and closes without an answer, as after a crash. The call
-    // may have run, so that nothing on the way may send it again: exactly one more request must
-    // arrive, and on that connection; a new one would have answered.
+    // The target echoes attempts, so its connection is reused from the second call on. It reads the
+    // third call and closes without an answer, as after a crash. The call may have run, so no layer
+    // may send it again: exactly one more request must arrive, and on that connection; a new
+    // connection would have answered.
     let target = RawTarget::start(|connection| {
         while let Some(request) = connection.read_request() {
             let is_third = connection.index == 1 && connection.requests == 2;
@@ -213,10 +213,10 @@
 }
 
 #[test]
-fn once_only_call_on_fresh_connection() {
-    // A target may close an idle connection just when a request is sent over it, and then nobody
-    // knows whether it ran. A call that may not be repeated must not run into this, although a
-    // kept connection is at hand from the second call on.
+fn non_repeatable_call_on_fresh_connection() {
+    // A target may close an idle connection while a request is in flight on it, and it is then
+    // unknown whether the request ran. A call that may not be repeated must use a new connection,
+    // although a reusable one is available from the second call on.
     let target = RawTarget::start(|connection| {
         while let Some(request) = connection.read_request() {
             let extra = format!("x-index: {}\r\n", connection.index);
@@ -225,11 +225,11 @@
     });
     let core = FakeCore::start();
     let mut indexes = Vec::new();
-    for is_once_only in [false, false, true, true, false] {
+    for is_non_repeatable in [false, false, true, true, false] {
         let extra = "idempotency-key: k1\r\n";
         let mut caller = RawCaller::send(core.address(), plain_call("POST", "/", extra, "x"));
         let call = core.next_arrival().call;
-        match is_once_only {
+        match is_non_repeatable {
             true => core.act(dispatch_once(&call, target.address)),
             false => core.act(dispatch(&call, 0, target.address)),
         }
@@ -245,10 +245,10 @@
 }
 
 #[test]
-fn stale_copy_without_echo_reaches_nobody() {
-    // The target does not echo attempts. It answers each request on a kept connection with the
-    // answer of the one before, as one that sent an answer twice does. Nothing in such an answer
-    // tells whose it is, so that the next call must come on another connection.
+fn stale_copy_without_echo_reaches_no_caller() {
+    // The target does not echo attempts. It answers each request on a reused connection with the
+    // previous answer, as after sending one answer twice. Such an answer cannot be attributed, so
+    // the next call must use another connection.
     let target = RawTarget::start(|connection| {
         let mut output = 2 + connection.index as u64;
         while connection.read_request().is_some() {
@@ -269,9 +269,10 @@
 }
 
 #[test]
-fn answer_without_echo_on_kept_connection() {
-    // A target that echoes attempts answers the third call, on a kept connection, without one. It
-    // may be an answer of the call before; the attempt fails, and the caller is not given it.
+fn answer_without_echo_on_reused_connection() {
+    // A target that echoes attempts answers the third call, on a reused connection, without an
+    // echo. It may be the answer of the previous call; the attempt fails, and the caller does not
+    // receive it.
     let target = RawTarget::start(|connection| {
         while let Some(request) = connection.read_request() {
             match connection.requests {
@@ -300,9 +301,9 @@
 
 #[test]
 fn late_answer_not_given_to_next_call() {
-    // The target answers the first call only after the router has given up on it, and the second
-    // call follows at once. The late answer must not be taken for the second call's, though this
-    // target echoes no attempts: the first connection must be gone.
+    // The target answers the first call only after the router has timed out, and the second call
+    // follows at once. The late answer must not be taken for the second call's, though this target
+    // does not echo attempts: the first connection must be closed.
     let target = RawTarget::start(|connection| {
         let mut number = 0;
         while connection.read_request().is_some() {
@@ -346,10 +347,9 @@
 }
 
 #[test]
-fn crossed_answer_by_echo() {
-    // The target mixes up its connections and answers this call with another attempt's answer.
-    // It echoes attempts, so that the mix-up is seen; the answer is dropped, and the caller gets
-    // that of the next attempt.
+fn misdirected_answer_detected_by_echo() {
+    // The target mixes up its connections and answers this call with another attempt's answer. The
+    // echo reveals it; the answer is dropped, and the caller receives that of the next attempt.
     let target = RawTarget::start(|connection| {
         let request = connection.read_request().expect("a request");
         let own = sent_attempt(&request);
@@ -401,8 +401,8 @@
 
 #[test]
 fn refusal_while_attempt_runs() {
-    // The core gives a call up while its target is silent. The caller hears it at once, and the
-    // target's connection is closed.
+    // The core refuses a call while its target does not answer. The caller receives the refusal at
+    // once, and the target's connection is closed.
     let target = RawTarget::start(|connection| {
         connection.read_request();
         connection.await_close();
--- a/crates/beechsaddle/tests/peers_auth.rs
+++ b/crates/beechsaddle/tests/peers_auth.rs
@@ -1,4 +1,5 @@
-//! Connections of strangers, of routers with another secret, and of routers that mean another life.
+//! Tests of unauthenticated clients, routers with another secret, and messages for another
+//! incarnation.
 
 mod peers_support;
 
@@ -18,7 +19,7 @@
 use quickcheck::{Arbitrary, Gen};
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-use peers_support::{SECRET, TestEdge, note, options, start};
+use peers_support::{SECRET, TestEdge, options, settle_reply, start};
 
 const OTHER_SECRET: &str = "another-secret-that-is-long-enough";
 
@@ -30,11 +31,11 @@
     stream
 }
 
-// Reads until the edge closes, and tells how long that took.
+// Reads until the edge closes, and returns how long that took.
 fn wait_for_close(mut stream: TcpStream) -> Duration {
     let start = Instant::now();
-    let mut rest = Vec::new();
-    match stream.read_to_end(&mut rest) {
+    let mut remaining = Vec::new();
+    match stream.read_to_end(&mut remaining) {
         Ok(_) => {}
         Err(error) => assert_eq!(
             error.kind(),
@@ -45,8 +46,8 @@
     start.elapsed()
 }
 
-// The start of a message of one segment with so many words.
-fn announcement(words: u32) -> [u8; 8] {
+// Returns the header of a message with one segment of `words` words.
+fn segment_header(words: u32) -> [u8; 8] {
     let mut bytes = [0; 8];
     bytes[4..].copy_from_slice(&words.to_le_bytes());
     bytes
@@ -62,7 +63,7 @@
     packed
 }
 
-// Runs calls on the gate of an edge as a client that may do what a router never does.
+// Runs calls on the gate of an edge as a client that is not bound to the routers' protocol.
 fn with_gate<F>(address: SocketAddr, calls: impl FnOnce(peer_gate::Client) -> F)
 where
     F: Future<Output = ()>,
@@ -98,26 +99,26 @@
     }
 }
 
-async fn say_hello(gate: &peer_gate::Client, hello: &PeerHello) -> Result<(), capnp::Error> {
+async fn send_hello(gate: &peer_gate::Client, hello: &PeerHello) -> Result<(), capnp::Error> {
     let mut request = gate.hello_request();
     write_hello(hello, request.get().init_hello()).expect("within limits");
     request.send().promise.await.map(|_| ())
 }
 
-async fn say_proof(gate: &peer_gate::Client, proof: &[u8]) -> Result<(), capnp::Error> {
+async fn send_proof(gate: &peer_gate::Client, proof: &[u8]) -> Result<(), capnp::Error> {
     let mut request = gate.prove_request();
     request.get().set_proof(proof);
     let response = request.send().promise.await?;
     response.get()?.get_inbox().map(|_| ())
 }
 
-// A router was started with the secret of another fleet. Neither side may take the other for a peer:
-// the one that connects gives away no message, the one that listens tells its core nothing.
+// A router was started with the secret of another fleet. Neither side may accept the other as a
+// peer: the connecting one sends no message, the listening one passes nothing to its core.
 #[test]
 fn connect_wrong_secret_passes_nothing_either_way() {
     let left = start("host-a", 1, options(OTHER_SECRET));
     let right = start("host-b", 7, options(SECRET));
-    left.send(&right, note(1));
+    left.send(&right, settle_reply(1));
     left.wait_for("refused", |counts| {
         counts.refused > 0 && counts.dropped == 1
     });
@@ -133,16 +134,16 @@
     assert!(!shown.contains(SECRET), "{shown}");
 }
 
-// A stranger that speaks the protocol but does not know the secret makes up a proof. It gets no
-// inbox, its connection ends, and the same gate gives it no second try.
+// A client that speaks the protocol without knowing the secret forges a proof. It gets no inbox,
+// its connection ends, and the same gate allows no second attempt.
 #[test]
-fn prove_made_up_proof_is_refused() {
+fn prove_forged_proof_is_refused() {
     let edge = start("host-b", 7, options(SECRET));
-    let hello = hello(&edge.me);
+    let hello = hello(&edge.own_incarnation);
     with_gate(edge.handle.local_address(), async |gate| {
-        assert!(say_hello(&gate, &hello).await.is_ok());
-        assert!(say_proof(&gate, &[0; 32]).await.is_err());
-        assert!(say_proof(&gate, &[0; 32]).await.is_err());
+        assert!(send_hello(&gate, &hello).await.is_ok());
+        assert!(send_proof(&gate, &[0; 32]).await.is_err());
+        assert!(send_proof(&gate, &[0; 32]).await.is_err());
     });
     edge.wait_for("refused", |counts| counts.refused == 1);
 }
@@ -151,30 +152,30 @@
 fn prove_without_hello_is_refused() {
     let edge = start("host-b", 7, options(SECRET));
     with_gate(edge.handle.local_address(), async |gate| {
-        assert!(say_proof(&gate, &[0; 32]).await.is_err());
+        assert!(send_proof(&gate, &[0; 32]).await.is_err());
     });
     edge.wait_for("refused", |counts| counts.refused == 1);
 }
 
-// A second hello would draw a fresh proof from the edge for names that the stranger chose after it
-// has seen the first.
+// A second hello would obtain a new proof from the edge for names that the client chose after it
+// had seen the first one.
 #[test]
 fn hello_twice_is_refused() {
     let edge = start("host-b", 7, options(SECRET));
-    let hello = hello(&edge.me);
+    let hello = hello(&edge.own_incarnation);
     with_gate(edge.handle.local_address(), async |gate| {
-        assert!(say_hello(&gate, &hello).await.is_ok());
-        assert!(say_hello(&gate, &hello).await.is_err());
+        assert!(send_hello(&gate, &hello).await.is_ok());
+        assert!(send_hello(&gate, &hello).await.is_err());
     });
     edge.wait_for("refused", |counts| counts.refused == 1);
 }
 
-// A stranger lets the router prove itself and sends the router's own proof back as its own. The
-// label of each side in the proof makes it worthless.
+// A client obtains the router's proof and sends it back as its own. It is invalid because the proof
+// contains a label of the side that made it.
 #[test]
 fn prove_reflected_proof_is_refused() {
     let edge = start("host-b", 7, options(SECRET));
-    let hello = hello(&edge.me);
+    let hello = hello(&edge.own_incarnation);
     with_gate(edge.handle.local_address(), async |gate| {
         let mut request = gate.hello_request();
         write_hello(&hello, request.get().init_hello()).expect("within limits");
@@ -182,38 +183,42 @@
         let challenge = response.get().and_then(|results| results.get_challenge());
         let proof = challenge.and_then(|challenge| challenge.get_proof());
         let proof = proof.expect("a proof").to_vec();
-        assert!(say_proof(&gate, &proof).await.is_err());
+        assert!(send_proof(&gate, &proof).await.is_err());
     });
     edge.wait_for("refused", |counts| counts.refused == 1);
 }
 
-// A router restarts at the same address. A peer that has not heard of it still sends to the earlier
-// life: its requests must not reach the new one, which holds none of the grants they are about.
+// A router restarts at the same address. A peer that does not know it yet still sends to the
+// earlier incarnation: its requests must not reach the new one, which holds none of the grants they
+// refer to.
 #[test]
 fn connect_other_incarnation_is_refused() {
     let left = start("host-a", 1, options(SECRET));
     let right = start("host-b", 8, options(SECRET));
     let earlier = RouterIncarnation::new("host-b", 7);
-    left.handle.send(earlier, right.address(), note(1));
+    left.handle.send(earlier, right.address(), settle_reply(1));
     left.wait_for("dropped", |counts| counts.dropped == 1);
-    left.send(&right, note(2));
-    assert_eq!(right.receive(), (left.me.clone(), note(2)));
+    left.send(&right, settle_reply(2));
+    assert_eq!(
+        right.receive(),
+        (left.own_incarnation.clone(), settle_reply(2))
+    );
     assert!(right.events.is_empty());
 }
 
-// The same, and the sender does not look at who answers: the new life itself has to refuse.
+// The same with a sender that does not check the incarnation: the new one itself has to refuse.
 #[test]
 fn hello_for_other_incarnation_is_refused() {
     let edge = start("host-b", 8, options(SECRET));
     let earlier = hello(&RouterIncarnation::new("host-b", 7));
     with_gate(edge.handle.local_address(), async |gate| {
-        assert!(say_hello(&gate, &earlier).await.is_err());
+        assert!(send_hello(&gate, &earlier).await.is_err());
     });
     edge.wait_for("refused", |counts| counts.refused == 1);
 }
 
-// Bytes that are no Cap'n Proto reach the port: a scanner, or a caller at the wrong port. Each such
-// connection ends, and peers go on being served.
+// Bytes that are not Cap'n Proto reach the port, from a scanner or a caller at the wrong port. Each
+// such connection ends, and peers are still served.
 #[test]
 fn accept_garbage_ends_the_connection_only() {
     let left = start("host-a", 1, options(SECRET));
@@ -230,17 +235,17 @@
     let mut stream = connect(&right);
     stream.write_all(http).expect("writes");
     wait_for_close(stream);
-    left.send(&right, note(1));
-    assert_eq!(right.receive().1, note(1));
+    left.send(&right, settle_reply(1));
+    assert_eq!(right.receive().1, settle_reply(1));
 }
 
-// A stranger sends half a message and waits, or claims a message of megabytes. It is let go of after
-// the handshake time, whatever it has sent.
+// A client sends half a message and waits, or announces a message of megabytes. It is disconnected
+// after the handshake's time limit, whatever it has sent.
 #[test]
-fn accept_half_sent_bytes_end_in_time() {
+fn accept_partial_message_times_out() {
     let edge = start("host-b", 7, options(SECRET));
     let mut stream = connect(&edge);
-    let mut bytes = packed(&announcement(1_000));
+    let mut bytes = packed(&segment_header(1_000));
     bytes.extend(packed(&[1; 96]));
     stream.write_all(&bytes).expect("writes");
     let elapsed = wait_for_close(stream);
@@ -249,14 +254,14 @@
     edge.wait_for("refused", |counts| counts.refused == 1);
 }
 
-// A stranger announces megabytes and streams them as fast as it can, packed: two bytes stand for
-// two thousand zeros. The edge unpacks no more than a handshake can have.
+// A client announces megabytes and sends them at full speed, packed: two bytes stand for two
+// thousand zeros. The edge unpacks no more than the size of a handshake.
 #[test]
-fn accept_flood_before_the_proof_is_cut() {
+fn accept_flood_before_authentication_is_cut() {
     for chunk in [vec![0; 65_536], vec![1; 65_536]] {
         let edge = start("host-b", 7, options(SECRET));
         let mut stream = connect(&edge);
-        let mut bytes = packed(&announcement(900_000));
+        let mut bytes = packed(&segment_header(900_000));
         bytes.extend(packed(&chunk));
         for _ in 0..100 {
             if stream.write_all(&bytes).is_err() {
@@ -270,20 +275,23 @@
     }
 }
 
-// Many strangers connect and say nothing. Only so many are kept; a peer gets in again as soon as the
-// time of the silent ones is over.
+// Many clients connect and send nothing. Only a limited number is accepted; a peer is accepted
+// again as soon as the silent ones have timed out.
 #[test]
-fn accept_silent_strangers_are_bounded() {
-    let mut few = options(SECRET);
-    few.unproven_max = 3;
-    few.connect_timeout_ms = 1_500;
-    let right = start("host-b", 7, few);
+fn accept_silent_connections_are_bounded() {
+    let mut limited = options(SECRET);
+    limited.unauthenticated_max = 3;
+    limited.connect_timeout_ms = 1_500;
+    let right = start("host-b", 7, limited);
     let begin = Instant::now();
     let silent: Vec<TcpStream> = (0..10).map(|_| connect(&right)).collect();
     right.wait_for("refused", |counts| counts.refused == 7);
-    assert!(begin.elapsed() < Duration::from_secs(1), "not at once");
+    assert!(
+        begin.elapsed() < Duration::from_secs(1),
+        "the refusals took too long"
+    );
     let left = start("host-a", 1, options(SECRET));
-    left.send(&right, note(1));
-    assert_eq!(right.receive().1, note(1));
+    left.send(&right, settle_reply(1));
+    assert_eq!(right.receive().1, settle_reply(1));
     drop(silent);
 }
--- a/crates/beechsaddle/tests/peers_exchange.rs
+++ b/crates/beechsaddle/tests/peers_exchange.rs
@@ -1,4 +1,4 @@
-//! Messages between two edges.
+//! Tests of messages between two edges.
 
 mod peers_support;
 
@@ -15,7 +15,7 @@
 use beechsaddle_core::target::{EngineRole, EngineState, LoadReport};
 use beechsaddle_wire::peer::MESSAGE_BYTES_MAX;
 
-use peers_support::{SECRET, call, heartbeat, note, options, start, start_with_ring};
+use peers_support::{SECRET, call, heartbeat, options, settle_reply, start, start_with_ring};
 
 fn key() -> RequestKey {
     RequestKey {
@@ -176,32 +176,38 @@
         right.send(&left, message);
     }
     for message in every_variant() {
-        assert_eq!(right.receive(), (left.me.clone(), message.clone()));
-        assert_eq!(left.receive(), (right.me.clone(), message));
+        assert_eq!(
+            right.receive(),
+            (left.own_incarnation.clone(), message.clone())
+        );
+        assert_eq!(left.receive(), (right.own_incarnation.clone(), message));
     }
 }
 
 #[test]
-fn send_many_come_in_order_and_batched() {
+fn send_many_arrive_in_order_and_batched() {
     let left = start("host-a", 1, options(SECRET));
     let right = start("host-b", 7, options(SECRET));
     for number in 0..1_000 {
-        left.send(&right, note(number));
+        left.send(&right, settle_reply(number));
     }
     for number in 0..1_000 {
-        assert_eq!(right.receive().1, note(number));
+        assert_eq!(right.receive().1, settle_reply(number));
     }
     let counts = left.wait_for("delivered", |counts| counts.delivered == 1_000);
     assert!(counts.deliveries < 500, "{counts:?}");
 }
 
 #[test]
-fn send_to_any_life_of_a_listed_host() {
+fn send_to_any_incarnation_of_a_listed_host() {
     let left = start("host-a", 1, options(SECRET));
     let right = start("host-b", 7, options(SECRET));
     let listed = RouterIncarnation::new("host-b", 0);
-    left.handle.send(listed, right.address(), note(1));
-    assert_eq!(right.receive(), (left.me.clone(), note(1)));
+    left.handle.send(listed, right.address(), settle_reply(1));
+    assert_eq!(
+        right.receive(),
+        (left.own_incarnation.clone(), settle_reply(1))
+    );
 }
 
 #[test]
@@ -212,10 +218,10 @@
     assert_eq!(right.receive().1, update(2_000));
 }
 
-// One message cannot be encoded, as one with an empty name or one that is too large. The others that
-// wait with it have to arrive: the core does not know which messages travel together.
+// One message cannot be encoded, for example because its name is empty or it is too large. The
+// others in its batch have to arrive: the core does not know which messages are sent together.
 #[test]
-fn send_unencodable_message_costs_no_other() {
+fn send_unencodable_message_affects_no_other() {
     let left = start("host-a", 1, options(SECRET));
     let right = start("host-b", 7, options(SECRET));
     let nameless = PeerMessage::SettleReply {
@@ -224,27 +230,27 @@
             number: 1,
         },
     };
-    left.send(&right, note(1));
+    left.send(&right, settle_reply(1));
     left.send(&right, nameless);
-    left.send(&right, note(2));
-    assert_eq!(right.receive().1, note(1));
-    assert_eq!(right.receive().1, note(2));
+    left.send(&right, settle_reply(2));
+    assert_eq!(right.receive().1, settle_reply(1));
+    assert_eq!(right.receive().1, settle_reply(2));
     let enough = MESSAGE_BYTES_MAX / 100;
     left.wait_for("all settled", |counts| counts.delivered == 2);
     left.send(&right, update(enough));
     left.wait_for("dropped", |counts| counts.dropped == 2);
-    left.send(&right, note(3));
-    assert_eq!(right.receive().1, note(3));
+    left.send(&right, settle_reply(3));
+    assert_eq!(right.receive().1, settle_reply(3));
 }
 
-// The core of the receiver is busy and its ring is full. Messages are dropped and counted, and the
-// edge goes on: it neither waits nor keeps them.
+// The receiver's core is busy and its ring is full. Messages are dropped and counted, and the edge
+// goes on without waiting or queueing them.
 #[test]
 fn receive_full_ring_drops_and_counts() {
     let left = start("host-a", 1, options(SECRET));
     let right = start_with_ring("host-b", 7, options(SECRET), 4);
     for number in 0..20 {
-        left.send(&right, note(number));
+        left.send(&right, settle_reply(number));
     }
     let counts = right.wait_for("all taken", |counts| {
         counts.received + counts.ring_full == 20
@@ -260,9 +266,9 @@
 fn stop_delivers_the_last_messages() {
     let left = start("host-a", 1, options(SECRET));
     let right = start("host-b", 7, options(SECRET));
-    left.send(&right, note(1));
-    left.send(&right, note(2));
+    left.send(&right, settle_reply(1));
+    left.send(&right, settle_reply(2));
     left.handle.stop();
-    assert_eq!(right.receive().1, note(1));
-    assert_eq!(right.receive().1, note(2));
+    assert_eq!(right.receive().1, settle_reply(1));
+    assert_eq!(right.receive().1, settle_reply(2));
 }
--- a/crates/beechsaddle/tests/peers_impostor.rs
+++ b/crates/beechsaddle/tests/peers_impostor.rs
@@ -1,4 +1,4 @@
-//! Listeners that pass for a peer, and connections that take without giving.
+//! Tests of listeners that impersonate a peer, and of peers that do not read their answers.
 
 mod peers_support;
 
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{Sender, channel};
 use std::time::Duration;
 
-use beechsaddle::peers::StreamGauge;
+use beechsaddle::peers::StreamMeter;
 use beechsaddle_core::prelude::*;
 use beechsaddle_wire::peer::{PeerChallenge, read_hello, reader_options, write_challenge};
 use beechsaddle_wire::peer_capnp::{peer_gate, peer_inbox};
@@ -17,11 +17,11 @@
 use capnp_rpc::twoparty::VatNetwork;
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-use peers_support::{SECRET, note, options, start};
+use peers_support::{SECRET, options, settle_reply, start};
 
-// Answers every hello with a made-up proof and hands an inbox to everyone.
+// Answers every hello with a forged proof and returns an inbox to any client.
 struct Impostor {
-    taken: Sender<u32>,
+    received: Sender<u32>,
 }
 
 impl peer_gate::Server for Impostor {
@@ -46,7 +46,7 @@
         mut results: peer_gate::ProveResults,
     ) -> Result<(), capnp::Error> {
         let inbox: peer_inbox::Client = capnp_rpc::new_client(OpenInbox {
-            taken: self.taken.clone(),
+            received: self.received.clone(),
         });
         results.get().set_inbox(inbox);
         Ok(())
@@ -54,7 +54,7 @@
 }
 
 struct OpenInbox {
-    taken: Sender<u32>,
+    received: Sender<u32>,
 }
 
 impl peer_inbox::Server for OpenInbox {
@@ -64,13 +64,13 @@
         _results: peer_inbox::DeliverResults,
     ) -> Result<(), capnp::Error> {
         let count = parameters.get()?.get_messages()?.len();
-        let _ = self.taken.send(count);
+        let _ = self.received.send(count);
         Ok(())
     }
 }
 
-// Listens on a thread of its own until the test's process ends.
-fn start_impostor(taken: Sender<u32>) -> SocketAddr {
+// Listens on a separate thread until the test's process ends.
+fn start_impostor(received: Sender<u32>) -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("binds");
     let address = listener.local_addr().expect("bound");
     listener.set_nonblocking(true).expect("sets");
@@ -84,14 +84,14 @@
             let listener = tokio::net::TcpListener::from_std(listener).expect("listens");
             loop {
                 let (stream, _) = listener.accept().await.expect("accepts");
-                serve(stream, taken.clone());
+                serve(stream, received.clone());
             }
         });
     });
     address
 }
 
-fn serve(stream: tokio::net::TcpStream, taken: Sender<u32>) {
+fn serve(stream: tokio::net::TcpStream, received: Sender<u32>) {
     let (reader, writer) = stream.into_split();
     let network = VatNetwork::new(
         PackedRead::new(reader.compat()),
@@ -99,47 +99,47 @@
         Side::Server,
         reader_options(),
     );
-    let gate: peer_gate::Client = capnp_rpc::new_client(Impostor { taken });
+    let gate: peer_gate::Client = capnp_rpc::new_client(Impostor { received });
     tokio::task::spawn_local(RpcSystem::new(Box::new(network), Some(gate.client)));
 }
 
-// Someone listens at a peer's old address and takes every proof. The router gives it no message: the
-// calls, keys and budgets in them are for the fleet only.
+// A process listens at a peer's old address and accepts every proof. The router sends it no
+// message: the calls, keys and budgets in them are for the fleet only.
 #[test]
-fn connect_impostor_is_told_nothing() {
-    let (taken, told) = channel();
-    let address = start_impostor(taken);
+fn connect_impostor_receives_nothing() {
+    let (received, deliveries) = channel();
+    let address = start_impostor(received);
     let left = start("host-a", 1, options(SECRET));
     let to = RouterIncarnation::new("host-b", 7);
-    left.handle.send(to, address.to_string(), note(1));
+    left.handle.send(to, address.to_string(), settle_reply(1));
     left.wait_for("refused", |counts| {
         counts.refused > 0 && counts.dropped == 1
     });
-    assert!(told.recv_timeout(Duration::from_millis(100)).is_err());
+    assert!(deliveries.recv_timeout(Duration::from_millis(100)).is_err());
 }
 
-// A broken peer goes on calling and reads none of the answers, which wait in a queue of the library
-// without a bound. It may send a little more, as one that is slow does, and is cut after that.
+// A faulty peer keeps calling and reads none of the answers, which wait in an unbounded queue of
+// the library. It may send a little more, as a slow peer does, and is then disconnected.
 #[test]
-fn note_read_while_a_write_waits_is_bounded() {
-    let gauge = StreamGauge::unlimited();
+fn record_read_while_a_write_is_blocked_is_bounded() {
+    let meter = StreamMeter::unlimited();
     let size = 64 * 1024;
     for _ in 0..100 {
-        assert!(gauge.note_read(size).is_ok());
+        assert!(meter.record_read(size).is_ok());
     }
-    gauge.note_write(true);
-    let reads = (0..100).take_while(|_| gauge.note_read(size).is_ok());
+    meter.record_write(true);
+    let reads = (0..100).take_while(|_| meter.record_read(size).is_ok());
     assert_eq!(reads.count(), 5);
-    gauge.note_write(false);
-    assert!(gauge.note_read(size).is_ok());
+    meter.record_write(false);
+    assert!(meter.record_read(size).is_ok());
 }
 
 #[test]
-fn note_read_before_the_proof_is_bounded() {
-    let gauge = StreamGauge::unproven();
-    assert!(gauge.note_read(4_000).is_ok());
-    assert!(gauge.read_limit(1_000_000) < 100);
-    assert!(gauge.note_read(100).is_err());
-    gauge.set_proven();
-    assert!(gauge.note_read(1_000_000).is_ok());
+fn record_read_before_authentication_is_bounded() {
+    let meter = StreamMeter::unauthenticated();
+    assert!(meter.record_read(4_000).is_ok());
+    assert!(meter.read_limit(1_000_000) < 100);
+    assert!(meter.record_read(100).is_err());
+    meter.set_authenticated();
+    assert!(meter.record_read(1_000_000).is_ok());
 }
--- a/crates/beechsaddle/tests/peers_support/mod.rs
+++ b/crates/beechsaddle/tests/peers_support/mod.rs
@@ -1,5 +1,5 @@
-//! The `peers_support` module provides edges between routers and a relay between them that can be
-//! stopped.
+//! The `peers_support` module provides edges between routers and a relay that can be paused between
+//! them.
 
 #![allow(dead_code)]
 
@@ -16,17 +16,17 @@
 use beechsaddle_core::prelude::*;
 use crossbeam_channel::Receiver;
 
-/// The secret of the fleet in tests.
+/// The fleet's secret in tests.
 pub const SECRET: &str = "0123456789abcdef0123456789abcdef";
 
-/// An edge with what it hands to the core.
+/// An edge and the events it sends to the core.
 pub struct TestEdge {
-    pub me: RouterIncarnation,
+    pub own_incarnation: RouterIncarnation,
     pub handle: PeersHandle,
     pub events: Receiver<CoreEvent>,
 }
 
-/// Options for tests: loopback, any port, short times.
+/// Returns options for tests: loopback, any port, short time limits.
 pub fn options(secret: &str) -> PeersOptions {
     let auth = PeerAuth::try_new(secret).expect("long enough");
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -37,7 +37,7 @@
     options
 }
 
-/// A report edge that writes nowhere.
+/// Starts a report edge that discards its output.
 pub fn reports() -> ReportHandle {
     let options = ReportOptions::new("").with_writer(io::sink());
     ReportEdge::try_start(options).expect("starts").0
@@ -48,10 +48,15 @@
 }
 
 pub fn start_with_ring(host: &str, epoch: u64, options: PeersOptions, ring: usize) -> TestEdge {
-    let me = RouterIncarnation::new(host, epoch);
+    let own_incarnation = RouterIncarnation::new(host, epoch);
     let (sender, events) = crossbeam_channel::bounded(ring);
-    let handle = PeersEdge::try_start(options, me.clone(), sender, reports()).expect("starts");
-    TestEdge { me, handle, events }
+    let handle =
+        PeersEdge::try_start(options, own_incarnation.clone(), sender, reports()).expect("starts");
+    TestEdge {
+        own_incarnation,
+        handle,
+        events,
+    }
 }
 
 impl TestEdge {
@@ -60,18 +65,19 @@
     }
 
     pub fn send(&self, to: &TestEdge, message: PeerMessage) {
-        self.handle.send(to.me.clone(), to.address(), message);
+        self.handle
+            .send(to.own_incarnation.clone(), to.address(), message);
     }
 
-    /// The next message, or a failed test after five seconds.
+    /// Returns the next message, or fails after five seconds.
     pub fn receive(&self) -> (RouterIncarnation, PeerMessage) {
         match self.events.recv_timeout(Duration::from_secs(5)) {
             Ok(CoreEvent::Peer { from, message }) => (from, message),
-            other => panic!("no message came: {other:?}; {:?}", self.handle.counts()),
+            other => panic!("no message arrived: {other:?}; {:?}", self.handle.counts()),
         }
     }
 
-    /// Waits until the counts are as wanted, or fails after five seconds.
+    /// Waits until the counters meet a condition, or fails after five seconds.
     pub fn wait_for(&self, what: &str, is_met: impl Fn(&PeersCounts) -> bool) -> PeersCounts {
         let until = Instant::now() + Duration::from_secs(5);
         loop {
@@ -85,8 +91,8 @@
     }
 }
 
-/// A small message that can be told from others.
-pub fn note(number: u64) -> PeerMessage {
+/// Returns a small message that is distinguished by its number.
+pub fn settle_reply(number: u64) -> PeerMessage {
     PeerMessage::SettleReply { call: call(number) }
 }
 
@@ -111,8 +117,8 @@
     }
 }
 
-/// Stands between two routers and can stop passing bytes on, as a frozen host or a cut network does:
-/// connections stay open, and the kernel goes on taking what fits into its buffers.
+/// Relays bytes between two routers and can be paused, like a frozen host or a network partition:
+/// connections stay open, and the kernel keeps accepting what fits into its buffers.
 pub struct PausableRelay {
     pub address: SocketAddr,
     paused: Arc<AtomicBool>,
@@ -150,12 +156,12 @@
         return;
     };
     let is_paused = Arc::clone(paused);
-    let back = thread::spawn(move || pass_on(far_copy, near_copy, &is_paused));
-    pass_on(near, far, paused);
+    let back = thread::spawn(move || copy_bytes(far_copy, near_copy, &is_paused));
+    copy_bytes(near, far, paused);
     let _ = back.join();
 }
 
-fn pass_on(mut from: TcpStream, mut to: TcpStream, paused: &AtomicBool) {
+fn copy_bytes(mut from: TcpStream, mut to: TcpStream, paused: &AtomicBool) {
     let mut buffer = [0; 4_096];
     while let Ok(size) = from.read(&mut buffer) {
         while paused.load(Ordering::SeqCst) {
