--- a/crates/beechsaddle-core/src/action.rs
+++ b/crates/beechsaddle-core/src/action.rs
@@ -1,4 +1,4 @@
-//! The `action` module provides everything that the core asks its edges to do.
+//! The `action` module provides everything that the core requests from its edges.
 
 use serde::Serialize;
 
@@ -10,39 +10,33 @@
 use crate::status::RouterStatus;
 use crate::target::TargetAction;
 
-/// Something that an edge has to carry out.
+/// An action for an edge to carry out.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum CoreAction {
     /// For the edge towards callers and targets.
     Call(CallAction),
-    /// A call on the platform; its outcome comes back with the same ticket.
+    /// A platform call; its outcome comes back with the same ticket.
     Platform {
-        /// Names the call.
         ticket: PlatformTicket,
-        /// What to do.
         call: PlatformCall,
     },
-    /// A message to another router; it may be lost, and is never sent twice by the edge.
+    /// A message to another router. It may be lost; the edge never sends it twice.
     Peer {
-        /// The receiver.
         to: RouterIncarnation,
-        /// Where it listens, as `address:port`.
+        /// The receiver's address, as `address:port`.
         address: String,
-        /// The message.
         message: PeerMessage,
     },
     /// A probe or an order.
     Target(TargetAction),
-    /// A log line or a count.
+    /// A log line or a metric.
     Report(ReportAction),
     /// The answer to a status query.
     Status {
-        /// The query.
         query: u64,
-        /// The answer.
         status: Box<RouterStatus>,
     },
-    /// All is handed over: the process may exit.
+    /// Everything is handed over and the process may exit.
     Exit,
 }
 
--- a/crates/beechsaddle-core/src/call.rs
+++ b/crates/beechsaddle-core/src/call.rs
@@ -11,29 +11,21 @@
 #[serde(transparent)]
 pub struct KeyDigest(pub [u8; 32]);
 
-/// What a caller asks for.
+/// The requested model or service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallRoute {
     /// `POST /v1/chat/completions`.
-    Chat {
-        /// The model named in the body.
-        model: ModelName,
-    },
+    Chat { model: ModelName },
     /// Any method at `/svc/<service>/<path>`.
-    Service {
-        /// The service named in the path.
-        service: ServiceName,
-    },
+    Service { service: ServiceName },
 }
 
-/// A call whose head and body have been read and checked for form.
+/// A call whose head and body have been read and validated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallArrival {
-    /// Given by the edge.
+    /// The id assigned by the edge.
     pub call: CallId,
-    /// The digest of the caller's key.
     pub key_digest: KeyDigest,
-    /// What is asked for.
     pub route: CallRoute,
     /// The budget named by the `Beechsaddle-Budget` header, if any.
     pub budget: Option<BudgetName>,
@@ -41,11 +33,11 @@
     pub idempotency: Option<KeyText>,
     /// The `Beechsaddle-Repeatable` header, if any.
     pub repeatable: Option<bool>,
-    /// When the caller gives up, if it said so by `Beechsaddle-Timeout-Ms`.
+    /// The caller's deadline by `Beechsaddle-Timeout-Ms`, if any.
     pub deadline: Option<ClockTime>,
-    /// An upper bound of the prompt in tokens: no tokenizer makes more tokens than bytes.
+    /// An upper bound of the prompt in tokens: no tokenizer produces more tokens than bytes.
     pub input_bound: u64,
-    /// The largest number of tokens to generate, if the caller said so.
+    /// The caller's limit of generated tokens, if any.
     pub output_bound: Option<u64>,
     /// Hashes of the prompt's leading blocks, each covering all blocks before it.
     pub prefix: Vec<u64>,
@@ -56,34 +48,34 @@
 pub struct TokenUsage {
     /// Tokens of the prompt.
     pub input: u64,
-    /// Tokens generated.
+    /// Generated tokens.
     pub output: u64,
 }
 
 impl TokenUsage {
-    /// Tokens in all.
+    /// Returns the sum of input and output tokens.
     pub fn total(self) -> u64 {
         self.input.saturating_add(self.output)
     }
 }
 
-/// Why an attempt at a target failed before anything was relayed to the caller.
+/// Why an attempt at a target failed before a byte was relayed to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptFailure {
-    /// No connection was made: the call did not run there.
+    /// No connection was established, so the call did not run there.
     ConnectFailed,
     /// The connection broke after bytes were sent.
     ConnectionLost,
-    /// No answer came in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// The target answered with this server error.
+    /// The target answered with a server error.
     ServerError,
-    /// The target said that it is overloaded or leaving (429 or 503).
+    /// The target is overloaded or leaving (429 or 503).
     TargetBusy,
-    /// The answer belonged to another attempt.
+    /// The answer names another attempt.
     WrongAttempt,
-    /// The answer cannot be read.
+    /// The answer cannot be parsed.
     BadAnswer,
 }
 
@@ -99,7 +91,7 @@
         AttemptFailure::BadAnswer,
     ];
 
-    /// The failure as it stands in logs and counters.
+    /// Returns the name of the failure in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
             AttemptFailure::ConnectFailed => "connect_failed",
@@ -118,118 +110,94 @@
     }
 }
 
-/// How an answer that was being relayed came to its end.
+/// How a relayed answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnswerEnd {
-    /// The target's answer is whole; its last part waits for [`CallAction::Finish`].
+    /// The target's answer is complete; its last part is held until [`CallAction::Finish`].
     Complete,
-    /// The target's answer broke off after bytes had gone to the caller.
+    /// The target's answer ended early after bytes were relayed to the caller.
     Truncated,
-    /// The caller hung up; the target's answer was cancelled.
+    /// The caller disconnected; the target's answer was cancelled.
     CallerGone,
 }
 
-/// Something that the edge towards callers and targets tells the core.
+/// An event from the edge towards callers and targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub enum CallEvent {
     /// A well-formed call arrived.
     Arrived(Box<CallArrival>),
-    /// The edge refused a malformed call by itself; only counted.
+    /// The edge refused a malformed call itself; the core only counts it.
     Rejected(CallRefusal),
-    /// A caller asks which models its workspace may use; answered by [`CallAction::Models`] or
-    /// [`CallAction::Refuse`].
+    /// A caller requests the models that its workspace may use; answered by [`CallAction::Models`]
+    /// or [`CallAction::Refuse`].
     ModelsQuery {
-        /// Given by the edge.
+        /// The id assigned by the edge.
         call: CallId,
-        /// The digest of the caller's key.
         key_digest: KeyDigest,
     },
-    /// The caller hung up while no attempt was running. A running attempt is cancelled by the edge,
-    /// which then raises `AnswerEnded` in place of this event. A `Dispatch` that crosses this event
+    /// The caller disconnected while no attempt was running. A running attempt is cancelled by the
+    /// edge, which raises `AnswerEnded` instead of this event. A `Dispatch` that crosses this event
     /// is not carried out: no byte of it reached a target.
     CallerGone {
-        /// The call.
         call: CallId,
-        /// The last attempt that the edge carried out. Its `AttemptFailed` may still be on the way.
+        /// The last attempt that the edge carried out. Its `AttemptFailed` may still be queued.
         last_attempt: Option<AttemptId>,
     },
     /// An attempt failed and nothing of it was relayed.
     AttemptFailed {
-        /// The attempt.
         attempt: AttemptId,
-        /// Why.
         failure: AttemptFailure,
     },
-    /// The head of the target's answer came and goes to the caller now.
-    AnswerStarted {
-        /// The attempt.
-        attempt: AttemptId,
-    },
-    /// Tokens of a streamed answer that went to the caller so far; raised about once a second.
+    /// The head of the target's answer arrived and is being relayed to the caller.
+    AnswerStarted { attempt: AttemptId },
+    /// The tokens of a streamed answer that were relayed so far; raised about once a second.
     AnswerProgress {
-        /// The attempt.
         attempt: AttemptId,
-        /// The usage so far.
         usage: TokenUsage,
     },
     /// The answer ended.
     AnswerEnded {
-        /// The attempt.
         attempt: AttemptId,
-        /// How.
         end: AnswerEnd,
-        /// The usage that the target reported. When the answer broke off before, `output` is what
-        /// the edge counted and `input` its estimate of the prompt; both are zero when nothing of
-        /// an answer had come.
+        /// The usage that the target reported. If the answer ended early, `output` is the edge's
+        /// count and `input` its estimate of the prompt; both are zero if no part of an answer
+        /// arrived.
         usage: TokenUsage,
     },
 }
 
-/// Something that the core asks of the edge towards callers and targets.
+/// An action for the edge towards callers and targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub enum CallAction {
-    /// Give the caller its final answer now.
-    Refuse {
-        /// The call.
-        call: CallId,
-        /// The answer.
-        refusal: CallRefusal,
-    },
-    /// Send the call to a target. Never resent by the edge.
+    /// Sends the caller its final answer.
+    Refuse { call: CallId, refusal: CallRefusal },
+    /// Sends the call to a target. The edge never resends it.
     Dispatch {
         /// The attempt, sent as `Beechsaddle-Attempt` and compared with the answer's echo.
         attempt: AttemptId,
-        /// The target.
         target: TargetName,
-        /// Where it listens, as `address:port`.
+        /// The target's address, as `address:port`.
         address: String,
         /// The `max_tokens` to send; `None` for a plain service.
         output_limit: Option<u64>,
-        /// How long to wait for the head of the answer, in milliseconds.
+        /// The time limit for the head of the answer, in milliseconds.
         head_timeout_ms: u64,
-        /// When the caller gives up, passed on to the target.
+        /// The caller's deadline, forwarded to the target.
         deadline: Option<ClockTime>,
-        /// Whether the call may be repeated. One that may not gets a connection of its own, and
-        /// the target's server error is relayed, since it is the call's outcome.
+        /// Whether the call may be repeated. A not-repeatable call gets its own connection, and a
+        /// server error of the target is relayed, since it is the call's outcome.
         repeatable: bool,
     },
     /// The models that the caller of a [`CallEvent::ModelsQuery`] may use.
     Models {
-        /// The call.
         call: CallId,
         /// The models, in order.
         models: Vec<ModelName>,
     },
-    /// The usage is safe: let the last part of the answer go.
-    Finish {
-        /// The call.
-        call: CallId,
-    },
-    /// Cancel the target's answer and break off the caller's visibly.
-    Abort {
-        /// The call.
-        call: CallId,
-    },
-    /// Stop accepting calls: the listener closes, running calls go on.
+    /// Relays the last part of the answer, since the usage is stored on two routers.
+    Finish { call: CallId },
+    /// Cancels the target's answer and visibly breaks the caller's.
+    Abort { call: CallId },
+    /// Closes the listener; running calls continue.
     StopAccepting,
 }
--- a/crates/beechsaddle-core/src/calls/call_checks.rs
+++ b/crates/beechsaddle-core/src/calls/call_checks.rs
@@ -7,7 +7,7 @@
 use crate::catalogue::{CatalogueView, ModelEntry, ServiceEntry, WorkspaceEntry};
 use crate::prelude::*;
 
-/// Works out what the call may do and cost, or why it is refused.
+/// Returns the terms of the call, or the refusal.
 pub(super) fn check_arrival(
     now: ClockTime,
     view: &CatalogueView,
@@ -72,7 +72,8 @@
             if !workspace.services.contains(&service.name) {
                 return Err(forbidden());
             }
-            // An engine reached as a plain service would generate without a bound on its tokens.
+            // An engine that is called as a plain service would generate an unbounded number of
+            // tokens.
             match service.kind {
                 crate::catalogue::ServiceKind::Plain => Ok((service, None)),
                 crate::catalogue::ServiceKind::Engine => Err(forbidden()),
@@ -85,7 +86,8 @@
     workspace: &WorkspaceEntry,
     arrival: &CallArrival,
 ) -> Result<BudgetName, CallRefusal> {
-    // Whether a named budget is the workspace's is checked where it is held, against the ledger.
+    // The budget's holder checks against the ledger whether a named budget belongs to the
+    // workspace.
     let budget = arrival.budget.as_ref().or(workspace.budget.as_ref());
     let foreign = || CallRefusal::not_run(RefusalReason::ForeignBudget, None);
     budget.cloned().ok_or_else(foreign)
@@ -98,8 +100,8 @@
 ) -> Result<RequestKey, CallRefusal> {
     let (text, origin) = match &arrival.idempotency {
         Some(text) => (text.clone(), KeyOrigin::Caller),
-        // Without the caller's key a retry of a not-repeatable call could not be told from a new
-        // one, and the second would run.
+        // Without the caller's key a retry of a not-repeatable call could not be distinguished from
+        // a new one, and would run.
         None if !repeatable => return Err(CallRefusal::not_run(RefusalReason::BadRequest, None)),
         None => (KeyText::new(arrival.call.to_string()), KeyOrigin::Router),
     };
--- a/crates/beechsaddle-core/src/calls/call_context.rs
+++ b/crates/beechsaddle-core/src/calls/call_context.rs
@@ -1,14 +1,14 @@
-//! The `call_context` module provides the duties that a call's life cycle draws on.
+//! The `call_context` module provides the parts of the core that the call life cycle uses.
 
 use crate::accounting::AccountingManager;
 use crate::admission::{AdmissionGate, RetryPolicy};
 use crate::catalogue::CatalogueView;
+use crate::dedup::DedupManager;
 use crate::members::MemberTable;
-use crate::once::OnceDesk;
 use crate::outbox::CoreOutbox;
 use crate::targets::TargetTable;
 
-/// The other duties of the core, borrowed for one event.
+/// The other parts of the core, borrowed for one event.
 pub struct CallContext<'a> {
     /// The catalogue in force.
     pub view: &'a CatalogueView,
@@ -17,13 +17,11 @@
     /// Budgets and bills.
     pub accounting: &'a mut AccountingManager,
     /// Dedup records.
-    pub once: &'a mut OnceDesk,
-    /// Targets.
+    pub dedup: &'a mut DedupManager,
     pub targets: &'a mut TargetTable,
-    /// Limits and shedding.
+    /// Limits and load shedding.
     pub gate: &'a mut AdmissionGate,
-    /// Retries.
     pub retries: &'a mut RetryPolicy,
-    /// Where actions go.
+    /// Collects the actions.
     pub outbox: &'a mut CoreOutbox,
 }
--- a/crates/beechsaddle-core/src/calls/call_desk.rs
+++ b/crates/beechsaddle-core/src/calls/call_manager.rs
@@ -1,4 +1,4 @@
-//! The `call_desk` module provides all open calls of one router.
+//! The `call_manager` module provides all open calls of one router.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,15 @@
 
 /// All open calls of one router.
 #[derive(Debug)]
-pub struct CallDesk {
+pub struct CallManager {
     pub(super) options: CallOptions,
     pub(super) draining: bool,
     pub(super) calls: BTreeMap<CallId, CallRecord>,
 }
 
-impl CallDesk {
-    /// A desk without calls.
+impl CallManager {
     pub fn new(options: CallOptions) -> Self {
-        CallDesk {
+        CallManager {
             options,
             draining: false,
             calls: BTreeMap::new(),
@@ -31,12 +30,12 @@
         self.calls.len()
     }
 
-    /// Refuses new calls from now on; open calls go on to their end.
+    /// Refuses new calls from now on; open calls continue to their end.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Takes an event of the call edge.
+    /// Handles an event of the edge towards callers and targets.
     pub fn on_event(&mut self, now: ClockTime, event: CallEvent, context: &mut CallContext<'_>) {
         match event {
             CallEvent::Arrived(arrival) => self.on_arrival(now, *arrival, context),
@@ -62,7 +61,7 @@
         }
     }
 
-    /// Takes a signal of another duty.
+    /// Handles a signal of another manager.
     pub fn on_signal(
         &mut self,
         now: ClockTime,
--- a/crates/beechsaddle-core/src/calls/call_options.rs
+++ b/crates/beechsaddle-core/src/calls/call_options.rs
@@ -3,7 +3,7 @@
 /// Settings of the call life cycle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallOptions {
-    /// What a caller is told to wait where nothing better is known, in milliseconds.
+    /// The default `Retry-After` of refusals, in milliseconds.
     pub retry_after_ms: u64,
 }
 
--- a/crates/beechsaddle-core/src/calls/call_record.rs
+++ b/crates/beechsaddle-core/src/calls/call_record.rs
@@ -1,4 +1,4 @@
-//! The `call_record` module provides what the router knows of one open call.
+//! The `call_record` module provides the state of one open call.
 
 use std::sync::Arc;
 
@@ -8,25 +8,26 @@
 use crate::prelude::*;
 use crate::targets::CallWork;
 
-/// The usual length of a token in bytes, for estimates of work only; bills go by the engine's count.
+/// The typical length of a token in bytes. Only used to estimate work; bills use the engine's
+/// count.
 const PROMPT_BYTES_PER_TOKEN: u64 = 4;
 
-/// How far a call has come.
+/// The phase of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum CallPhase {
-    /// The budget's holder was asked.
+    /// The admit request was sent to the budget's holder.
     Admitting,
     /// The dedup record is being made durable.
     Recording,
-    /// A target has it and has not answered.
+    /// The call was sent to a target that has not answered.
     Dispatched,
-    /// The answer goes to the caller.
+    /// The answer is being relayed to the caller.
     Relaying,
-    /// The usage goes to the budget's holder.
+    /// The usage is being settled with the budget's holder.
     Settling,
 }
 
-/// What a call may do and cost by the catalogue in force at its arrival.
+/// The terms of a call under the catalogue in force at its arrival.
 #[derive(Clone, Debug)]
 pub(super) struct CallTerms {
     pub workspace: Arc<WorkspaceEntry>,
@@ -34,7 +35,7 @@
     pub model: Option<Arc<ModelEntry>>,
     pub key: RequestKey,
     pub budget: BudgetName,
-    /// The largest number of tokens that it can use.
+    /// The largest number of tokens that the call can use.
     pub bound: u64,
     /// The `max_tokens` sent to an engine.
     pub output_limit: Option<u64>,
@@ -42,7 +43,7 @@
 }
 
 impl CallTerms {
-    /// The class under which the call is shed: the lowest that any of its entries has.
+    /// Returns the lowest class of the call's entries, by which the call is shed.
     pub fn class(&self) -> EntryClass {
         let class = self.workspace.header.class.min(self.service.header.class);
         match &self.model {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// How much work it is expected to be for an engine; a token of a prompt has some four bytes.
+    /// Returns the expected work for an engine, at four prompt bytes per token.
     pub fn work(&self, arrival: &CallArrival) -> CallWork {
         match self.output_limit {
             Some(output_tokens) => CallWork {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// What is billed when the call may have run and no answer tells the usage.
+    /// Returns the tokens to bill when the call may have run and its usage is unknown.
     pub fn unknown_cost(&self) -> u64 {
         match self.service.kind {
             ServiceKind::Plain => self.bound,
@@ -71,17 +72,16 @@
     }
 }
 
-/// The attempt that runs now.
+/// The current attempt.
 #[derive(Clone, Debug)]
 pub(super) struct RunningAttempt {
     pub attempt: AttemptId,
     pub target: TargetName,
     pub sent: ClockTime,
-    /// The expected time to the first token when it was sent, in milliseconds.
+    /// The expected time to first token at dispatch, in milliseconds.
     pub first_token_ms: u64,
 }
 
-/// One open call.
 #[derive(Debug)]
 pub(super) struct CallRecord {
     pub arrival: CallArrival,
@@ -91,20 +91,20 @@
     pub attempts: u32,
     pub tried: Vec<TargetName>,
     pub running: Option<RunningAttempt>,
-    /// Whether a byte of it may have reached a target.
+    /// Whether a byte of the call may have reached a target.
     pub may_have_run: bool,
-    /// Whether a dedup record was asked for.
+    /// Whether a dedup record was requested.
     pub recorded: bool,
-    /// Whether the caller hung up.
+    /// Whether the caller disconnected.
     pub caller_gone: bool,
     /// How the answer ended.
     pub end: Option<AnswerEnd>,
-    /// What was billed.
+    /// The billed tokens.
     pub tokens: u64,
 }
 
 impl CallRecord {
-    /// A call that has passed admission.
+    /// Creates a call that has passed admission.
     pub fn new(arrival: CallArrival, terms: CallTerms, pass: AdmissionPass) -> Self {
         CallRecord {
             arrival,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Whether `attempt` is the one that runs now. Anything an earlier attempt still says is void.
+    /// Whether `attempt` is the current one. Events of earlier attempts are ignored.
     pub fn is_running(&self, attempt: &AttemptId) -> bool {
         self.running
             .as_ref()
--- a/crates/beechsaddle-core/src/calls/desk_admission.rs
+++ b/crates/beechsaddle-core/src/calls/manager_admission.rs
@@ -1,16 +1,16 @@
-//! The `desk_admission` module provides the steps of a call before it is dispatched.
+//! The `manager_admission` module provides the steps of a call before it is dispatched.
 
 use super::call_checks::check_arrival;
 use super::call_record::{CallPhase, CallRecord, CallTerms};
 use super::call_reports::refuse;
-use super::{CallContext, CallDesk};
+use super::{CallContext, CallManager};
 use crate::admission::AdmissionInput;
 use crate::call::CallArrival;
 use crate::peer::{AdmitRequest, RecordRequest};
 use crate::prelude::*;
 use crate::report::{CounterName, ReportAction};
 
-impl CallDesk {
+impl CallManager {
     pub(super) fn on_arrival(
         &mut self,
         now: ClockTime,
@@ -52,8 +52,8 @@
             ));
         }
         let terms = check_arrival(now, context.view, &arrival, self.options.retry_after_ms)?;
-        let facts = call_facts(now, &arrival, &terms, context);
-        let pass = context.gate.admit(now, &facts)?;
+        let input = admission_input(now, &arrival, &terms, context);
+        let pass = context.gate.admit(now, &input)?;
         context.retries.requested(now);
         Ok(CallRecord::new(arrival, terms, pass))
     }
@@ -68,18 +68,19 @@
         let Some(record) = self.calls.get_mut(call) else {
             return;
         };
-        // A call that waits for its reservation or its record learns of it at the next step.
+        // A call that waits for its reservation or record ends at the next step.
         record.caller_gone = true;
         if record.phase != CallPhase::Dispatched {
             return;
         }
-        // The attempt was carried out and its failure is still on the way; a full ring may let this
-        // event overtake it. Taking the call for one that was not dispatched would free the key of a
-        // call that may have run, and the next one with that key would run it again.
+        // The attempt was made and its failure event is still queued; with a full ring this event
+        // may overtake it. If the call were treated as not dispatched, the key of a call that may
+        // have run would be released, and the next call with that key would run it again.
         if last_attempt.is_some_and(|attempt| record.is_running(attempt)) {
             return;
         }
-        // Otherwise the dispatch crossed this event and was not carried out. Nothing else would ever end the call, and a drain would wait for it.
+        // Otherwise the dispatch crossed this event and was not carried out. No other event would
+        // end the call, and a drain would wait for it.
         if let Some(running) = record.running.take() {
             context.targets.ended(now, &running.target);
         }
@@ -100,7 +101,7 @@
             return;
         }
         if let Err(refusal) = outcome {
-            // Nothing is reserved, so nothing has to be settled.
+            // Nothing is reserved, so there is nothing to settle.
             let record = self.calls.remove(call);
             end_refused(now, call, record, refusal.clone(), context);
             return;
@@ -120,7 +121,7 @@
             key: record.terms.key.clone(),
         };
         context
-            .once
+            .dedup
             .record(now, request, context.members, context.outbox);
     }
 
@@ -148,7 +149,7 @@
     }
 }
 
-fn call_facts<'a>(
+fn admission_input<'a>(
     now: ClockTime,
     arrival: &CallArrival,
     terms: &'a CallTerms,
--- a/crates/beechsaddle-core/src/calls/desk_attempts.rs
+++ b/crates/beechsaddle-core/src/calls/manager_attempts.rs
@@ -1,15 +1,15 @@
-//! The `desk_attempts` module provides the dispatch of a call to targets.
+//! The `manager_attempts` module provides the dispatch of a call to targets.
 
 use super::call_record::{CallPhase, CallRecord, RunningAttempt};
 use super::call_reports::attempt_line;
-use super::{CallContext, CallDesk};
+use super::{CallContext, CallManager};
 use crate::admission::{FailedAttempt, RetryDecision};
 use crate::call::{AttemptFailure, CallAction};
 use crate::prelude::*;
 use crate::report::{CounterName, ReportAction};
 use crate::targets::{ChoiceRequest, TargetChoice};
 
-impl CallDesk {
+impl CallManager {
     pub(super) fn dispatch(
         &mut self,
         now: ClockTime,
@@ -99,7 +99,7 @@
             .outbox
             .act(ReportAction::Count(CounterName::AttemptFailed(failure)));
         context.outbox.act(attempt_line(attempt, &running, failure));
-        let facts = FailedAttempt {
+        let failed_attempt = FailedAttempt {
             failure,
             repeatable: record.terms.repeatable,
             first_byte_sent: false,
@@ -113,7 +113,7 @@
             self.release(now, call, context);
             return;
         }
-        match context.retries.decide(now, &facts) {
+        match context.retries.decide(now, &failed_attempt) {
             RetryDecision::Retry => {
                 context
                     .outbox
--- a/crates/beechsaddle-core/src/calls/desk_endings.rs
+++ b/crates/beechsaddle-core/src/calls/manager_endings.rs
@@ -1,13 +1,13 @@
-//! The `desk_endings` module provides the answer of a call and everything that ends it.
+//! The `manager_endings` module provides the handling of answers and of all ends of a call.
 
 use super::call_record::CallPhase;
 use super::call_reports::{ended_line, refuse};
-use super::{CallContext, CallDesk};
+use super::{CallContext, CallManager};
 use crate::call::{AnswerEnd, AttemptFailure, CallAction, TokenUsage};
 use crate::prelude::*;
 use crate::report::{CounterName, ReportAction};
 
-impl CallDesk {
+impl CallManager {
     pub(super) fn on_answer_started(
         &mut self,
         now: ClockTime,
@@ -79,7 +79,7 @@
             Some(_) => usage.total(),
             None => record.terms.bound,
         };
-        // The reservation is all that the budget is known to have: billing more could overspend.
+        // The budget is known to cover only the reservation; a higher bill could overspend it.
         if used > record.terms.bound {
             context
                 .outbox
@@ -134,7 +134,7 @@
         context.gate.ended(now, record.pass, record.tokens);
     }
 
-    /// Ends a call whose caller hung up before anything was dispatched.
+    /// Ends a call whose caller disconnected before the call was dispatched.
     pub(super) fn release(&mut self, now: ClockTime, call: &CallId, context: &mut CallContext<'_>) {
         context
             .outbox
@@ -153,11 +153,11 @@
         self.end_call(now, call, context);
     }
 
-    /// Gives back what a call without an answer holds.
+    /// Returns everything that a call without an answer holds.
     ///
     /// A call that did not run leaves no bill and no dedup record. A repeatable call that may have
     /// run leaves no bill either: its caller got nothing and may send it again. A not-repeatable
-    /// one cannot run again, so what it may have cost is billed now or never.
+    /// call cannot run again, so its possible cost can only be billed now.
     pub(super) fn end_call(
         &mut self,
         now: ClockTime,
@@ -175,7 +175,7 @@
         };
         if record.recorded && !record.may_have_run {
             context
-                .once
+                .dedup
                 .forget(now, call, &record.terms.key, context.outbox);
         }
         context.gate.ended(now, record.pass, tokens);
--- a/crates/beechsaddle-core/src/catalogue/budget_edit.rs
+++ b/crates/beechsaddle-core/src/catalogue/budget_edit.rs
@@ -1,7 +1,7 @@
-//! The `budget_edit` module provides what operators declare of budgets.
+//! The `budget_edit` module provides the declarations of budgets.
 //!
-//! The ledger holds the truth of a budget. A change carries its edits too, so that two operators
-//! who edit one budget at a time find out: routers skip them.
+//! The ledger is the source of truth for budgets. A catalogue change also contains budget edits, so
+//! that concurrent edits of one budget by two operators are detected; routers skip them.
 
 use std::collections::BTreeMap;
 
@@ -9,26 +9,22 @@
 
 use crate::names::{BudgetName, OwnerName, TopUpId, WorkspaceName};
 
-/// One budget as declared.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetDeclaration {
-    /// Its name.
     pub name: BudgetName,
-    /// Who answers for it.
+    /// The person or team responsible for the budget.
     pub owner: OwnerName,
     /// The workspace that may spend it.
     pub workspace: WorkspaceName,
-    /// What is paid in, in tokens.
+    /// The top-ups, in tokens.
     pub top_ups: BTreeMap<TopUpId, u64>,
 }
 
-/// The change of one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetEdit {
-    /// The budget.
     pub name: BudgetName,
-    /// What was declared before; `None` when the budget is new.
+    /// The previous declaration; `None` when the budget is new.
     pub before: Option<BudgetDeclaration>,
-    /// What is declared now; `None` when the budget is removed.
+    /// The new declaration; `None` when the budget is removed.
     pub after: Option<BudgetDeclaration>,
 }
--- a/crates/beechsaddle-core/src/catalogue/catalogue_change.rs
+++ b/crates/beechsaddle-core/src/catalogue/catalogue_change.rs
@@ -1,8 +1,9 @@
 //! The `catalogue_change` module provides the durable form of the catalogue.
 //!
-//! An applied edit is one object, created if absent at the next revision: all edits have one order,
-//! one edit of many entries is applied as a whole, and of two racing edits one finds the number
-//! taken. A base is the whole catalogue at a revision, so that a router need not read every change.
+//! An applied edit is one object, created only if absent at the next revision: all edits have one
+//! order, an edit of many entries is atomic, and of two racing edits the second fails because its
+//! revision exists. A base is the whole catalogue at a revision, so that a router need not read
+//! every change.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,22 +11,20 @@
 use crate::clock::ClockTime;
 use crate::names::OwnerName;
 
-/// One applied edit, at `catalogue/change/<revision, 12 digits>`.
+/// One applied edit, stored at `catalogue/change/<revision, 12 digits>`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogueChange {
-    /// The revision that the edit made.
+    /// The revision that the edit creates.
     pub revision: u64,
-    /// The id of the write, so that an operator whose answer was lost can recognise it.
+    /// The id of the write, by which an operator recognises an edit whose reply was lost.
     pub write_id: String,
-    /// Who applied it.
+    /// The operator who applied the edit.
     pub author: OwnerName,
-    /// When, by the author's clock.
+    /// The time of the edit by the author's clock.
     pub applied: ClockTime,
-    /// What it changed.
     pub edits: Vec<EntryEdit>,
 }
 
-/// The change of one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryEdit {
     /// The entry is added or replaced.
@@ -36,20 +35,18 @@
     Budget(BudgetEdit),
 }
 
-/// A part of the whole catalogue, at `catalogue/base/<revision, 12 digits>/<part>`.
+/// A part of the whole catalogue, stored at `catalogue/base/<revision, 12 digits>/<part>`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogueBase {
-    /// The revision of the catalogue.
     pub revision: u64,
-    /// Entries, each with the revision that last changed it.
+    /// Entries, each with the revision of its last change.
     pub entries: Vec<(u64, CatalogueEntry)>,
 }
 
-/// The newest base, at `catalogue/head`.
+/// The newest base, stored at `catalogue/head`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogueHead {
-    /// Its revision.
     pub revision: u64,
-    /// How many parts it has.
+    /// The number of parts of the base.
     pub parts: u32,
 }
--- a/crates/beechsaddle-core/src/catalogue/catalogue_entry.rs
+++ b/crates/beechsaddle-core/src/catalogue/catalogue_entry.rs
@@ -1,6 +1,6 @@
-//! The `catalogue_entry` module provides what operators declare.
+//! The `catalogue_entry` module provides the entries that operators declare.
 //!
-//! Budgets are declared in the same files, but live in the ledger: see `accounting`.
+//! Budgets are declared in the same files, but are stored in the ledger: see the accounting module.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,28 +8,23 @@
 use crate::names::{BudgetName, ModelName, OwnerName, ServiceName, WorkspaceName};
 use crate::target::EngineRole;
 
-/// The kinds of entries that every router knows.
+/// The kinds of entries that every router has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EntryKind {
-    /// A workspace.
     Workspace,
-    /// A service.
     Service,
-    /// A model.
     Model,
 }
 
-/// Names one entry.
+/// Identifies one entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EntryId {
-    /// Its kind.
     pub kind: EntryKind,
-    /// Its name.
     pub name: String,
 }
 
-/// How early load of an entry is shed: the lowest class first.
+/// The order in which load is shed: the lowest class first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -44,58 +39,51 @@
     Critical,
 }
 
-/// Limits of an entry, over all routers of a domain; `None` is no limit.
+/// Limits of an entry, over all routers of a domain; `None` means no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryLimits {
-    /// Calls at a time.
+    /// Concurrent calls.
     pub concurrency: Option<u32>,
-    /// Calls a second.
+    /// Calls per second.
     pub requests_per_second: Option<u32>,
-    /// Tokens a minute.
+    /// Tokens per minute.
     pub tokens_per_minute: Option<u64>,
 }
 
-/// What every entry has.
+/// The fields that all entries share.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryHeader {
-    /// Who answers for it.
+    /// The person or team responsible for the entry.
     pub owner: OwnerName,
-    /// How early its load is shed.
+    /// The class by which the entry's load is shed.
     pub class: EntryClass,
-    /// Its limits.
     pub limits: EntryLimits,
 }
 
-/// One entry of the catalogue.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CatalogueEntry {
-    /// A workspace.
     Workspace(WorkspaceEntry),
-    /// A service.
     Service(ServiceEntry),
-    /// A model.
     Model(ModelEntry),
 }
 
 /// A party that calls services and spends budgets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkspaceEntry {
-    /// Owner, class and limits.
     pub header: EntryHeader,
-    /// Its name.
     pub name: WorkspaceName,
-    /// Digests of its keys.
+    /// Digests of the workspace's keys.
     pub keys: Vec<KeyDigest>,
-    /// The budget of calls that name none. Every other budget is known to the ledger alone: a
-    /// router that kept the names of all of them would outgrow its memory.
+    /// The default budget. Other budgets are only in the ledger: the names of all budgets would
+    /// exceed a router's memory.
     pub budget: Option<BudgetName>,
-    /// Services it may call.
+    /// The services that the workspace may call.
     pub services: Vec<ServiceName>,
-    /// Models it may use.
+    /// The models that the workspace may use.
     pub models: Vec<ModelName>,
 }
 
-/// What kind of targets a service has.
+/// The kind of targets of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
@@ -105,44 +93,38 @@
     Plain,
 }
 
-/// A group of alike targets.
+/// A group of equivalent targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceEntry {
-    /// Owner, class and limits.
     pub header: EntryHeader,
-    /// Its name.
     pub name: ServiceName,
-    /// What kind of targets it has.
     pub kind: ServiceKind,
-    /// Whether its calls may be repeated, unless a call says otherwise.
+    /// Whether calls may be repeated, unless a call overrides it.
     pub repeatable: bool,
-    /// What a call to a plain service costs, in tokens.
+    /// The cost of a call to a plain service, in tokens.
     pub call_cost: u64,
-    /// How long a target may take to the head of its answer, in milliseconds.
+    /// How long a target may take until the head of its answer, in milliseconds.
     pub head_timeout_ms: u64,
 }
 
 /// A model that engines serve.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelEntry {
-    /// Owner, class and limits.
     pub header: EntryHeader,
-    /// Its name.
     pub name: ModelName,
-    /// The service whose engines serve it.
+    /// The service whose engines serve the model.
     pub service: ServiceName,
-    /// Its version.
     pub version: u64,
-    /// Adapters that are loaded with it.
+    /// Adapters that are loaded with the model.
     pub adapters: Vec<String>,
-    /// The role of its engines.
+    /// The role of the model's engines.
     pub role: EngineRole,
-    /// The `max_tokens` of a call that names none, and the largest allowed.
+    /// The default and the maximum `max_tokens` of a call.
     pub output_limit: u64,
 }
 
 impl CatalogueEntry {
-    /// The entry's kind and name.
+    /// Returns the entry's kind and name.
     pub fn id(&self) -> EntryId {
         match self {
             CatalogueEntry::Workspace(entry) => EntryId {
@@ -160,7 +142,7 @@
         }
     }
 
-    /// The entry's owner, class and limits.
+    /// Returns the entry's owner, class and limits.
     pub fn header(&self) -> &EntryHeader {
         match self {
             CatalogueEntry::Workspace(entry) => &entry.header,
--- a/crates/beechsaddle-core/src/catalogue/catalogue_log.rs
+++ b/crates/beechsaddle-core/src/catalogue/catalogue_log.rs
@@ -1,35 +1,35 @@
-//! The `catalogue_log` module provides the latest changes, for peers that are behind.
+//! The `catalogue_log` module provides the latest changes for peers with an older revision.
 
 use std::collections::VecDeque;
 
 use super::CatalogueChange;
 
-/// The most entries in all kept changes together: bounds the memory that the log takes.
-const EDITS_MAX: usize = 4_096;
+/// The maximum number of edits in all retained changes, which bounds the log's memory.
+const MAX_EDITS: usize = 4_096;
 
 /// The latest changes, without gaps.
 #[derive(Debug)]
 pub(super) struct CatalogueLog {
     changes: VecDeque<CatalogueChange>,
     edits: usize,
-    length: usize,
+    capacity: usize,
 }
 
 impl CatalogueLog {
-    /// A log of at most `length` changes.
-    pub fn new(length: usize) -> Self {
+    /// Creates a log of at most `capacity` changes.
+    pub fn new(capacity: usize) -> Self {
         CatalogueLog {
             changes: VecDeque::new(),
             edits: 0,
-            length,
+            capacity,
         }
     }
 
-    /// Adds the change that was just applied.
+    /// Appends an applied change and drops the oldest beyond the limits.
     pub fn push(&mut self, change: CatalogueChange) {
         self.edits += change.edits.len();
         self.changes.push_back(change);
-        while self.changes.len() > self.length || self.edits > EDITS_MAX {
+        while self.changes.len() > self.capacity || self.edits > MAX_EDITS {
             let Some(oldest) = self.changes.pop_front() else {
                 break;
             };
@@ -37,13 +37,14 @@
         }
     }
 
-    /// Forgets all changes, after a base took their place.
+    /// Drops all changes after a base was loaded.
     pub fn clear(&mut self) {
         self.changes.clear();
         self.edits = 0;
     }
 
-    /// The changes after a revision, at most `count`; `None` when they are not all kept.
+    /// Returns at most `count` changes after a revision; `None` when one of them is no longer
+    /// retained.
     pub fn after(&self, revision: u64, count: usize) -> Option<Vec<CatalogueChange>> {
         let oldest = self.changes.front()?;
         if oldest.revision > revision + 1 {
--- a/crates/beechsaddle-core/src/catalogue/catalogue_desk.rs
+++ b/crates/beechsaddle-core/src/catalogue/catalogue_manager.rs
@@ -1,7 +1,7 @@
-//! The `catalogue_desk` module provides the duty that brings applied changes into force.
+//! The `catalogue_manager` module provides the application of catalogue changes at one router.
 
 use super::catalogue_log::CatalogueLog;
-use super::catalogue_reader::{CatalogueReader, ReaderNews, ReaderScene};
+use super::catalogue_reader::{CatalogueReader, ReaderContext, ReaderOutput};
 use super::{CatalogueBase, CatalogueChange, CatalogueOptions, CatalogueView};
 use crate::action::CoreAction;
 use crate::clock::ClockTime;
@@ -13,19 +13,19 @@
 use crate::report::{LogLevel, LogLine, ReportAction};
 use crate::signal::CoreSignal;
 
-/// What the routers that watch the catalogue are ranked by.
+/// The name by which the routers that watch the catalogue are ranked.
 const WATCHER_NAME: &str = "catalogue-watch";
 
-/// How often a router looks at the platform that may not watch yet, in milliseconds.
-const SETTLE_POLL_MS: u64 = 500;
+/// How often a router polls the platform before it may watch, in milliseconds.
+const STARTUP_POLL_MS: u64 = 500;
 
-/// Follows the catalogue: from the platform where this router watches, from peers otherwise.
+/// Follows the catalogue: from the platform if this router watches it, from peers otherwise.
 ///
-/// Whatever the source, the revision in force only goes up: a change applies to the revision right
-/// before it alone, and a base only when it is newer. A router that lost the platform keeps what it
-/// has, and one that restarts meanwhile takes the highest that its peers have.
+/// The revision in force only increases: a change applies only to the revision right before it, and
+/// a base only if it is newer. A router that cannot reach the platform retains its catalogue, and
+/// one that restarts during an outage takes the highest revision of its peers.
 #[derive(Debug)]
-pub struct CatalogueDesk {
+pub struct CatalogueManager {
     options: CatalogueOptions,
     me: RouterIncarnation,
     view: CatalogueView,
@@ -35,12 +35,11 @@
     requested: Option<ClockTime>,
 }
 
-impl CatalogueDesk {
-    /// The desk of the router `me`, without a catalogue.
+impl CatalogueManager {
     pub fn new(options: CatalogueOptions, me: RouterIncarnation) -> Self {
-        CatalogueDesk {
+        CatalogueManager {
             view: CatalogueView::new(),
-            log: CatalogueLog::new(options.kept_changes),
+            log: CatalogueLog::new(options.retained_changes),
             reader: CatalogueReader::new(&me),
             started: ClockTime::ZERO,
             requested: None,
@@ -54,14 +53,14 @@
         &self.view
     }
 
-    /// Begins to read the catalogue.
+    /// Starts to read the catalogue.
     pub fn start(&mut self, now: ClockTime, members: &MemberTable, outbox: &mut CoreOutbox) {
         self.started = now;
-        let scene = self.scene(now, members);
-        self.reader.proceed(now, scene, outbox);
+        let context = self.context(now, members);
+        self.reader.proceed(now, context, outbox);
     }
 
-    /// Takes a request or an update of a peer.
+    /// Handles a request or an update from a peer.
     pub fn on_peer(
         &mut self,
         now: ClockTime,
@@ -75,10 +74,10 @@
             PeerMessage::CatalogueUpdate { base, changes } => {
                 let before = self.view.revision();
                 let bases = base.map(|base| vec![*base]).unwrap_or_default();
-                self.take(bases, changes, outbox);
+                self.apply_updates(bases, changes, outbox);
                 if self.view.revision() > before {
-                    self.pass_on(from, before, members, outbox);
-                    self.ask_for_rest(now, from, members, outbox);
+                    self.forward_to_other_domain(from, before, members, outbox);
+                    self.request_remainder(now, from, members, outbox);
                 }
             }
             PeerMessage::Heartbeat(_)
@@ -98,7 +97,7 @@
         }
     }
 
-    /// Takes the outcome of a platform call.
+    /// Handles the outcome of a platform call.
     pub fn on_platform(
         &mut self,
         now: ClockTime,
@@ -109,19 +108,19 @@
     ) {
         let before = self.view.revision();
         match self.reader.on_platform(now, ticket, reply) {
-            Some(ReaderNews::Base(parts)) => self.take(parts, Vec::new(), outbox),
-            Some(ReaderNews::Changes(changes)) => self.take(Vec::new(), changes, outbox),
+            Some(ReaderOutput::Base(parts)) => self.apply_updates(parts, Vec::new(), outbox),
+            Some(ReaderOutput::Changes(changes)) => self.apply_updates(Vec::new(), changes, outbox),
             None => {}
         }
         if self.view.revision() > before && before > 0 {
             self.push(before, members, |_| true, outbox);
         }
-        let scene = self.scene(now, members);
-        self.reader.proceed(now, scene, outbox);
+        let context = self.context(now, members);
+        self.reader.proceed(now, context, outbox);
     }
 
-    /// Takes the revision that a peer's heartbeat told: one that is higher shows that an update was
-    /// lost, or that this router is cut off from where the peer learnt it.
+    /// Handles the revision in a peer's heartbeat. A higher one means that an update was lost, or
+    /// that this router is cut off from the peer's source.
     pub fn on_heartbeat_revision(
         &mut self,
         now: ClockTime,
@@ -133,35 +132,35 @@
         if revision <= self.view.revision() {
             return;
         }
-        let waits = self
+        let is_pending = self
             .requested
             .is_some_and(|time| now.since(time) < self.options.request_ms);
-        if !waits {
+        if !is_pending {
             self.request(now, from, members, outbox);
         }
     }
 
-    /// Looks at the platform when it is time.
+    /// Polls the platform when it is due.
     pub fn tick(&mut self, now: ClockTime, members: &MemberTable, outbox: &mut CoreOutbox) {
-        let scene = self.scene(now, members);
-        self.reader.tick(now, scene, outbox);
+        let context = self.context(now, members);
+        self.reader.tick(now, context, outbox);
     }
 
-    fn scene(&self, now: ClockTime, members: &MemberTable) -> ReaderScene {
-        let settled = now.since(self.started) >= self.options.settle_ms;
+    fn context(&self, now: ClockTime, members: &MemberTable) -> ReaderContext {
+        let may_watch = now.since(self.started) >= self.options.watch_delay_ms;
         let mut ranked = members.ranked(WATCHER_NAME);
         ranked.truncate(self.options.watchers);
-        ReaderScene {
+        ReaderContext {
             revision: self.view.revision(),
-            watches: settled && ranked.contains(&self.me),
-            poll_ms: match settled {
+            is_watcher: may_watch && ranked.contains(&self.me),
+            poll_ms: match may_watch {
                 true => self.options.poll_ms,
-                false => SETTLE_POLL_MS,
+                false => STARTUP_POLL_MS,
             },
         }
     }
 
-    fn take(
+    fn apply_updates(
         &mut self,
         bases: Vec<CatalogueBase>,
         changes: Vec<CatalogueChange>,
@@ -169,7 +168,7 @@
     ) {
         let before = self.view.revision();
         if !bases.is_empty() && self.view.load_base(bases) {
-            // The kept changes do not reach up to the base: with them a peer would get a gap.
+            // The retained changes end before the base: sent to a peer, they would leave a gap.
             self.log.clear();
         }
         for change in changes {
@@ -214,9 +213,9 @@
         send(to, message, members, outbox);
     }
 
-    /// An update that came to a bridge from one side may have come through it alone: the other side
-    /// gets it at once, and not only after a heartbeat.
-    fn pass_on(
+    /// Forwards an update at once to routers of other domains than the sender's. A bridge may be
+    /// the only router through which it reaches them before the next heartbeat.
+    fn forward_to_other_domain(
         &self,
         from: &RouterIncarnation,
         before: u64,
@@ -234,15 +233,15 @@
         &self,
         before: u64,
         members: &MemberTable,
-        wanted: impl Fn(&MemberEntry) -> bool,
+        is_receiver: impl Fn(&MemberEntry) -> bool,
         outbox: &mut CoreOutbox,
     ) {
         let Some(changes) = self.log.after(before, self.options.sent_changes) else {
             return;
         };
         for (router, entry) in members.iter() {
-            let behind = entry.catalogue_revision < self.view.revision();
-            if entry.liveness == MemberLiveness::Live && behind && wanted(entry) {
+            let is_behind = entry.catalogue_revision < self.view.revision();
+            if entry.liveness == MemberLiveness::Live && is_behind && is_receiver(entry) {
                 let message = PeerMessage::CatalogueUpdate {
                     base: None,
                     changes: changes.clone(),
@@ -252,8 +251,9 @@
         }
     }
 
-    /// One answer holds a bounded number of changes; a router that is further behind asks on.
-    fn ask_for_rest(
+    /// Requests more if the peer has a newer revision, since one reply contains a bounded number of
+    /// changes.
+    fn request_remainder(
         &mut self,
         now: ClockTime,
         from: &RouterIncarnation,
--- a/crates/beechsaddle-core/src/catalogue/catalogue_reader.rs
+++ b/crates/beechsaddle-core/src/catalogue/catalogue_reader.rs
@@ -1,5 +1,4 @@
-//! The `catalogue_reader` module provides the reading and watching of the catalogue at the
-//! platform.
+//! The `catalogue_reader` module provides the reads and watches of the catalogue on the platform.
 
 use super::{
     CHANGE_PREFIX, CatalogueBase, CatalogueChange, CatalogueHead, HEAD_KEY, base_key, change_key,
@@ -12,59 +11,60 @@
 use crate::outbox::CoreOutbox;
 use crate::platform::{PlatformCall, PlatformDuty, PlatformReply, PlatformTicket, StoredObject};
 
-/// A call that was not answered for so long, in milliseconds, was lost on the way: a watch is
-/// answered after about 30 s at the latest, and a read by the time limit of the edge.
-const CALL_LOST_MS: u64 = 60_000;
+/// The time after which an unanswered call counts as lost, in milliseconds. A watch is answered
+/// after about 30 s at the latest, and a read within the edge's time limit.
+const CALL_TIMEOUT_MS: u64 = 60_000;
 
-/// A router that is at most so many revisions behind the newest base reads the changes.
-const CHANGES_WORTH_READING: u64 = 64;
+/// The largest distance in revisions to the newest base at which changes are read instead of the
+/// base.
+const MAX_CHANGE_READS: u64 = 64;
 
-/// The call that is under way or next.
+/// The call that is in flight or next.
 #[derive(Debug)]
 enum ReadStep {
-    /// Which base is the newest?
+    /// Reads which base is the newest.
     Head,
-    /// The next part of a base.
+    /// Reads the next part of a base.
     Part {
         head: CatalogueHead,
         parts: Vec<CatalogueBase>,
     },
-    /// The change after the revision in force.
+    /// Reads the change after the revision in force.
     Change,
-    /// Wait for a change.
+    /// Waits for a change.
     Watch,
-    /// No call until then.
-    Rest { until: ClockTime, failed: bool },
+    /// Makes no call until a time.
+    Idle { until: ClockTime, failed: bool },
 }
 
-/// What a reply brought.
+/// The data of a reply.
 #[derive(Debug, PartialEq)]
-pub(super) enum ReaderNews {
+pub(super) enum ReaderOutput {
     /// The parts of a base.
     Base(Vec<CatalogueBase>),
     /// Changes, oldest first.
     Changes(Vec<CatalogueChange>),
 }
 
-/// What the next call depends on.
+/// The inputs for the choice of the next call.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ReaderScene {
+pub(super) struct ReaderContext {
     /// The revision in force.
     pub revision: u64,
-    /// Whether this router watches; it looks now and then otherwise.
-    pub watches: bool,
-    /// How often it looks, in milliseconds.
+    /// Whether this router watches; otherwise it polls.
+    pub is_watcher: bool,
+    /// The poll interval in milliseconds.
     pub poll_ms: u64,
 }
 
-/// Reads the newest base, then the changes after it, then watches or rests; one call at a time.
+/// Reads the newest base, then the changes after it, then watches or polls; one call at a time.
 #[derive(Debug)]
 pub(super) struct CatalogueReader {
     step: ReadStep,
     next_number: u64,
     pending: Option<(u64, ClockTime)>,
-    /// The platform's revision before which no change was missed.
-    seen: u64,
+    /// The platform's revision up to which no change was missed.
+    watched_revision: u64,
     backoff: RetryBackoff,
 }
 
@@ -74,46 +74,46 @@
             step: ReadStep::Head,
             next_number: 0,
             pending: None,
-            seen: 0,
+            watched_revision: 0,
             backoff: RetryBackoff::new(me, CHANGE_PREFIX),
         }
     }
 
-    /// Starts over when a call was lost, and ends a rest when it is time.
-    pub fn tick(&mut self, now: ClockTime, scene: ReaderScene, outbox: &mut CoreOutbox) {
+    /// Starts over when a call was lost, and ends a pause when it is due.
+    pub fn tick(&mut self, now: ClockTime, context: ReaderContext, outbox: &mut CoreOutbox) {
         let lost = self
             .pending
-            .is_some_and(|(_, since)| now.since(since) >= CALL_LOST_MS);
+            .is_some_and(|(_, since)| now.since(since) >= CALL_TIMEOUT_MS);
         if lost {
             self.pending = None;
             self.step = ReadStep::Head;
         }
         match self.step {
-            // The outage may have been long: the newest base saves reading all changes since.
-            ReadStep::Rest { until, failed } if failed && until <= now => {
+            // After a long outage the newest base is cheaper than all changes since.
+            ReadStep::Idle { until, failed } if failed && until <= now => {
                 self.step = ReadStep::Head;
             }
-            ReadStep::Rest { until, failed } if !failed && (until <= now || scene.watches) => {
+            ReadStep::Idle { until, failed } if !failed && (until <= now || context.is_watcher) => {
                 self.step = ReadStep::Change;
             }
-            ReadStep::Rest { .. }
+            ReadStep::Idle { .. }
             | ReadStep::Head
             | ReadStep::Part { .. }
             | ReadStep::Change
             | ReadStep::Watch => {}
         }
-        self.proceed(now, scene, outbox);
+        self.proceed(now, context, outbox);
     }
 
-    /// Takes an outcome and gives what it brought. Once that is in force,
+    /// Handles an outcome and returns its data. After the data was applied,
     /// [`CatalogueReader::proceed`] makes the next call.
     pub fn on_platform(
         &mut self,
         now: ClockTime,
         ticket: PlatformTicket,
         reply: PlatformReply,
-    ) -> Option<ReaderNews> {
-        // The answer to a call that was given up must not start a second chain of calls.
+    ) -> Option<ReaderOutput> {
+        // The reply to a call that timed out must not start a second chain of calls.
         if self.pending.map(|(number, _)| number) != Some(ticket.number) {
             return None;
         }
@@ -136,15 +136,15 @@
         }
     }
 
-    /// Makes the next call unless one is under way.
-    pub fn proceed(&mut self, now: ClockTime, scene: ReaderScene, outbox: &mut CoreOutbox) {
+    /// Makes the next call unless one is in flight.
+    pub fn proceed(&mut self, now: ClockTime, context: ReaderContext, outbox: &mut CoreOutbox) {
         if self.pending.is_some() {
             return;
         }
-        self.skip_base(scene);
-        if matches!(self.step, ReadStep::Watch) && !scene.watches {
-            self.step = ReadStep::Rest {
-                until: now.plus_ms(scene.poll_ms),
+        self.skip_base(context);
+        if matches!(self.step, ReadStep::Watch) && !context.is_watcher {
+            self.step = ReadStep::Idle {
+                until: now.plus_ms(context.poll_ms),
                 failed: false,
             };
         }
@@ -156,44 +156,44 @@
                 key: base_key(head.revision, parts.len() as u32),
             },
             ReadStep::Change => PlatformCall::Read {
-                key: change_key(scene.revision + 1),
+                key: change_key(context.revision + 1),
             },
             ReadStep::Watch => PlatformCall::Watch {
                 prefix: ObjectKey::new(CHANGE_PREFIX),
-                after: self.seen,
+                after: self.watched_revision,
             },
-            ReadStep::Rest { .. } => return,
+            ReadStep::Idle { .. } => return,
         };
         self.call(now, call, outbox);
     }
 
-    /// A base that is not much newer than what is in force costs more than the changes do.
-    fn skip_base(&mut self, scene: ReaderScene) {
+    /// Skips a base that is so close to the revision in force that reading the changes costs less.
+    fn skip_base(&mut self, context: ReaderContext) {
         let ReadStep::Part { head, .. } = &self.step else {
             return;
         };
-        let near = scene.revision > 0
-            && head.revision <= scene.revision.saturating_add(CHANGES_WORTH_READING);
-        if near || head.parts == 0 {
+        let is_near = context.revision > 0
+            && head.revision <= context.revision.saturating_add(MAX_CHANGE_READS);
+        if is_near || head.parts == 0 {
             self.step = ReadStep::Change;
         }
     }
 
-    fn on_found(&mut self, now: ClockTime, stored: StoredObject) -> Option<ReaderNews> {
+    fn on_found(&mut self, now: ClockTime, stored: StoredObject) -> Option<ReaderOutput> {
         self.backoff.reset();
         let version = stored.version;
         match stored.object.map(|object| *object) {
             Some(PlatformObject::Head(head)) => {
-                self.seen = self.seen.max(version);
+                self.watched_revision = self.watched_revision.max(version);
                 let parts = Vec::new();
                 self.step = ReadStep::Part { head, parts };
                 None
             }
             Some(PlatformObject::Base(part)) => self.on_part(part),
             Some(PlatformObject::Change(change)) => {
-                self.seen = self.seen.max(version);
+                self.watched_revision = self.watched_revision.max(version);
                 self.step = ReadStep::Change;
-                Some(ReaderNews::Changes(vec![change]))
+                Some(ReaderOutput::Changes(vec![change]))
             }
             Some(
                 PlatformObject::Ledger(_)
@@ -207,7 +207,7 @@
         }
     }
 
-    fn on_part(&mut self, part: CatalogueBase) -> Option<ReaderNews> {
+    fn on_part(&mut self, part: CatalogueBase) -> Option<ReaderOutput> {
         let ReadStep::Part { head, parts } = &mut self.step else {
             return None;
         };
@@ -217,35 +217,35 @@
         }
         let parts = std::mem::take(parts);
         self.step = ReadStep::Change;
-        Some(ReaderNews::Base(parts))
+        Some(ReaderOutput::Base(parts))
     }
 
     fn on_absent(&mut self) {
         self.backoff.reset();
         self.step = match self.step {
-            // There is no base yet, or a part of it is missing: the changes are all kept.
+            // There is no base yet, or a part of it is missing: all changes are still stored.
             ReadStep::Head | ReadStep::Part { .. } => ReadStep::Change,
-            ReadStep::Change | ReadStep::Watch | ReadStep::Rest { .. } => ReadStep::Watch,
+            ReadStep::Change | ReadStep::Watch | ReadStep::Idle { .. } => ReadStep::Watch,
         };
     }
 
-    fn on_changed(&mut self, objects: Vec<StoredObject>, revision: u64) -> Option<ReaderNews> {
+    fn on_changed(&mut self, objects: Vec<StoredObject>, revision: u64) -> Option<ReaderOutput> {
         self.backoff.reset();
-        self.seen = self.seen.max(revision);
+        self.watched_revision = self.watched_revision.max(revision);
         let mut changes = read_changes(objects);
         if changes.is_empty() {
             return None;
         }
-        // Reading on shows a change that the watch skipped and those that came meanwhile.
+        // Reads continue, in case the watch skipped a change or more followed.
         self.step = ReadStep::Change;
         changes.sort_by_key(|change| change.revision);
-        Some(ReaderNews::Changes(changes))
+        Some(ReaderOutput::Changes(changes))
     }
 
-    fn fail(&mut self, now: ClockTime, least_ms: u64) -> Option<ReaderNews> {
-        let waiting_ms = self.backoff.next_ms(least_ms);
-        self.step = ReadStep::Rest {
-            until: now.plus_ms(waiting_ms),
+    fn fail(&mut self, now: ClockTime, min_ms: u64) -> Option<ReaderOutput> {
+        let delay_ms = self.backoff.next_ms(min_ms);
+        self.step = ReadStep::Idle {
+            until: now.plus_ms(delay_ms),
             failed: true,
         };
         None
--- a/crates/beechsaddle-core/src/catalogue/catalogue_view.rs
+++ b/crates/beechsaddle-core/src/catalogue/catalogue_view.rs
@@ -11,7 +11,7 @@
 use crate::call::KeyDigest;
 use crate::names::{ModelName, ServiceName, WorkspaceName};
 
-/// The catalogue at one revision. The revision only ever goes up.
+/// The catalogue at one revision. The revision only increases.
 #[derive(Clone, Debug, Default)]
 pub struct CatalogueView {
     revision: u64,
@@ -23,7 +23,7 @@
 }
 
 impl CatalogueView {
-    /// An empty catalogue at revision zero, which admits no call.
+    /// Creates an empty catalogue at revision zero, which admits no call.
     pub fn new() -> Self {
         CatalogueView::default()
     }
@@ -33,40 +33,35 @@
         self.revision
     }
 
-    /// The workspace that a key belongs to.
+    /// Returns the workspace that a key belongs to.
     pub fn workspace_of(&self, digest: &KeyDigest) -> Option<Arc<WorkspaceEntry>> {
         let name = self.keys.get(digest)?;
         self.workspace(name)
     }
 
-    /// A workspace by name.
     pub fn workspace(&self, name: &WorkspaceName) -> Option<Arc<WorkspaceEntry>> {
         self.workspaces
             .get(name)
             .map(|(_, entry)| Arc::clone(entry))
     }
 
-    /// A service by name.
     pub fn service(&self, name: &ServiceName) -> Option<Arc<ServiceEntry>> {
         self.services.get(name).map(|(_, entry)| Arc::clone(entry))
     }
 
-    /// A model by name.
     pub fn model(&self, name: &ModelName) -> Option<Arc<ModelEntry>> {
         self.models.get(name).map(|(_, entry)| Arc::clone(entry))
     }
 
-    /// All models.
     pub fn models(&self) -> impl Iterator<Item = &Arc<ModelEntry>> {
         self.models.values().map(|(_, entry)| entry)
     }
 
-    /// All services.
     pub fn services(&self) -> impl Iterator<Item = &Arc<ServiceEntry>> {
         self.services.values().map(|(_, entry)| entry)
     }
 
-    /// All entries with the revision that last changed each, in the order of their ids.
+    /// Returns all entries with the revision of their last change, in the order of their ids.
     pub fn entries(&self) -> BTreeMap<EntryId, (u64, CatalogueEntry)> {
         let workspaces = self
             .workspaces
@@ -87,7 +82,7 @@
             .collect()
     }
 
-    /// The whole catalogue, for a router that is too far behind for single changes.
+    /// Returns the whole catalogue, for a router too far behind for single changes.
     pub fn base(&self) -> CatalogueBase {
         CatalogueBase {
             revision: self.revision,
@@ -95,7 +90,7 @@
         }
     }
 
-    /// Replaces everything by a base, unless the base is not newer. Tells whether it did.
+    /// Replaces the view by a base if that is newer. Returns whether it was.
     pub fn load_base(&mut self, parts: impl IntoIterator<Item = CatalogueBase>) -> bool {
         let mut view = CatalogueView::new();
         for part in parts {
@@ -104,8 +99,8 @@
                 view.put(revision, entry);
             }
         }
-        // A base that is older than the view comes from a peer that lags or from a router that was
-        // cut off. Taking it would bring replaced entries back into force.
+        // An older base comes from a peer that lags or from a router that was cut off. It would
+        // restore replaced entries.
         if view.revision <= self.revision {
             return false;
         }
@@ -113,8 +108,8 @@
         true
     }
 
-    /// Applies the change that makes the next revision. Tells whether it did: a change that is
-    /// older is ignored, and one that leaves a gap has to wait for those before it.
+    /// Applies the change that creates the next revision. Returns whether it did: an older change
+    /// is ignored, and one after a gap has to wait for those before it.
     pub fn apply(&mut self, change: &CatalogueChange) -> bool {
         if change.revision != self.revision + 1 {
             return false;
@@ -168,8 +163,8 @@
         }
     }
 
-    /// Looks up the workspace's own keys instead of going through those of all workspaces. A key
-    /// that was given to another workspace since then stays with it.
+    /// Removes the workspace's keys by lookup instead of a scan of all keys. A key that was since
+    /// given to another workspace stays with that.
     fn remove_keys(&mut self, entry: &WorkspaceEntry) {
         for digest in &entry.keys {
             if self.keys.get(digest) == Some(&entry.name) {
--- a/crates/beechsaddle-core/src/catalogue/shared_names.rs
+++ b/crates/beechsaddle-core/src/catalogue/shared_names.rs
@@ -1,14 +1,14 @@
-//! The `shared_names` module provides one text for each name that many entries have.
+//! The `shared_names` module provides interning of names that many entries share.
 
 use std::collections::BTreeSet;
 
 use super::{CatalogueEntry, EntryHeader};
 use crate::names::{ModelName, OwnerName, ServiceName};
 
-/// One text for each name that many entries have.
+/// Interned names of owners, services and models.
 ///
-/// Decoding makes a text of its own for every name it reads: thousands of workspaces would each
-/// hold a copy of the names of the same few owners, services and models.
+/// Decoding allocates every name that it reads: thousands of workspaces would each hold a copy of
+/// the same few names.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SharedNames {
     owners: BTreeSet<OwnerName>,
@@ -17,7 +17,7 @@
 }
 
 impl SharedNames {
-    /// Puts the shared texts into an entry.
+    /// Replaces the names of an entry by interned ones.
     pub fn share(&mut self, entry: &mut CatalogueEntry) {
         match entry {
             CatalogueEntry::Workspace(entry) => {
--- a/crates/beechsaddle-core/src/once/commit_reply.rs
+++ b/crates/beechsaddle-core/src/dedup/commit_reply.rs
@@ -1,40 +1,39 @@
-//! The `commit_reply` module provides what a shard's committer makes of the platform's answers.
+//! The `commit_reply` module provides the handling of platform replies by a shard's committer.
 
 use super::record_verdict::RecordVerdict;
-use super::shard_committer::{CommitScene, CommitStep, ShardCommitter};
+use super::shard_committer::{CommitContext, CommitStep, ShardCommitter};
 use super::shard_view::ShardView;
 use crate::clock::ClockTime;
 use crate::names::CallId;
 use crate::objects::PlatformObject;
 use crate::platform::{PlatformReply, StoredObject};
 
-/// Why the platform is left alone for a while.
+/// Why no platform calls are made for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PlatformPause {
-    /// It cannot be reached.
+    /// The platform cannot be reached.
     Unreachable,
-    /// It asked to come back after so many milliseconds.
+    /// The platform asked to retry after this many milliseconds.
     Throttled(u64),
-    /// What it holds cannot be used.
+    /// The stored value cannot be used.
     Invalid,
 }
 
-/// How long to wait after a lost answer before the shard is read again, in milliseconds: a write
-/// that is still on its way has most often arrived by then.
-const REREAD_MS: u64 = 20;
+/// The delay before a shard is read again after a lost reply, in milliseconds. A write that is
+/// still in flight has usually arrived by then.
+const REREAD_DELAY_MS: u64 = 20;
 
 impl ShardCommitter {
-    /// Takes in the answer to the call in flight. Tells why the platform has to be left alone, if
-    /// it has to.
+    /// Handles the reply to the call in flight. Returns the reason if platform calls have to pause.
     pub(super) fn on_reply(
         &mut self,
-        scene: &CommitScene<'_>,
+        context: &CommitContext<'_>,
         reply: PlatformReply,
         verdicts: &mut Vec<RecordVerdict>,
     ) -> Option<PlatformPause> {
-        let flight = self.flight.take()?;
-        match flight.step {
-            CommitStep::Read => self.on_read(scene, flight.started, flight.questions, reply),
+        let call = self.in_flight.take()?;
+        match call.step {
+            CommitStep::Read => self.on_read(context, call.started, call.last_sequence, reply),
             CommitStep::Write {
                 next,
                 records,
@@ -43,20 +42,20 @@
                 PlatformReply::Written { version } => {
                     self.view = next;
                     self.view.version = Some(version);
-                    self.fresh = Some(flight.questions);
-                    self.settle_written(records, releases, verdicts);
+                    self.view_sequence = Some(call.last_sequence);
+                    self.finish_write(records, releases, verdicts);
                     None
                 }
-                reply => self.on_write_failed(scene, flight.started, &records, reply),
+                reply => self.on_write_failed(context, call.started, &records, reply),
             },
         }
     }
 
     fn on_read(
         &mut self,
-        scene: &CommitScene<'_>,
+        context: &CommitContext<'_>,
         started: ClockTime,
-        questions: u64,
+        last_sequence: u64,
         reply: PlatformReply,
     ) -> Option<PlatformPause> {
         match reply {
@@ -64,25 +63,25 @@
                 version, object, ..
             }) => match object.map(|object| *object) {
                 Some(PlatformObject::Dedup(shard)) => {
-                    self.view.read_object(version, shard, scene.watched_ms);
-                    self.fresh = Some(questions);
+                    self.view.read_object(version, shard, context.elapsed_ms);
+                    self.view_sequence = Some(last_sequence);
                     None
                 }
                 Some(_) | None => Some(PlatformPause::Invalid),
             },
-            // Shards are never deleted. One that was there and is gone has been lost, and with it
-            // the knowledge of what was dispatched: starting it anew would let keys run twice.
+            // Shards are never deleted. If one disappears, the record of what was dispatched is
+            // lost, and an empty shard in its place would let keys run twice.
             PlatformReply::Absent if self.view.version.is_some() => Some(PlatformPause::Invalid),
             PlatformReply::Absent => {
                 self.view = ShardView::default();
-                self.fresh = Some(questions);
+                self.view_sequence = Some(last_sequence);
                 None
             }
             PlatformReply::Throttled { retry_after_ms } => {
                 Some(PlatformPause::Throttled(retry_after_ms))
             }
             PlatformReply::Unreachable => Some(PlatformPause::Unreachable),
-            PlatformReply::Unknown => self.after_silence(scene, started),
+            PlatformReply::Unknown => self.on_lost_reply(context, started),
             PlatformReply::Written { .. }
             | PlatformReply::Deleted
             | PlatformReply::Conflict
@@ -92,32 +91,32 @@
         }
     }
 
-    /// After a lost answer the shard is read again soon, unless it took so long to give the answer
-    /// up that the platform must be taken for away.
-    fn after_silence(
+    /// Schedules another read after a lost reply, or reports the platform as unreachable if the
+    /// call ran into the record timeout.
+    fn on_lost_reply(
         &mut self,
-        scene: &CommitScene<'_>,
+        context: &CommitContext<'_>,
         started: ClockTime,
     ) -> Option<PlatformPause> {
-        if scene.now.since(started) >= scene.options.record_timeout_ms {
+        if context.now.since(started) >= context.options.record_timeout_ms {
             return Some(PlatformPause::Unreachable);
         }
-        self.next_commit = scene.now.plus_ms(REREAD_MS);
+        self.next_commit = context.now.plus_ms(REREAD_DELAY_MS);
         None
     }
 
     fn on_write_failed(
         &mut self,
-        scene: &CommitScene<'_>,
+        context: &CommitContext<'_>,
         started: ClockTime,
         records: &[CallId],
         reply: PlatformReply,
     ) -> Option<PlatformPause> {
         match reply {
-            // Another router committed first. Its records are read before anything is repeated.
+            // Another router committed first. Its records are read before the write is repeated.
             PlatformReply::Conflict => {
-                self.fresh = None;
-                self.next_commit = scene.now;
+                self.view_sequence = None;
+                self.next_commit = context.now;
                 None
             }
             PlatformReply::Throttled { retry_after_ms } => {
@@ -125,8 +124,8 @@
             }
             PlatformReply::Unreachable => Some(PlatformPause::Unreachable),
             PlatformReply::Invalid => Some(PlatformPause::Invalid),
-            // The write may have taken effect, or may still do so. What is read next tells; a write
-            // after that names the version read, so that of the two only one takes effect.
+            // The write may have taken effect, or may still do so. The next read shows which; the
+            // following write names the version read, so that only one of the two takes effect.
             PlatformReply::Unknown
             | PlatformReply::Found(_)
             | PlatformReply::Absent
@@ -134,18 +133,18 @@
             | PlatformReply::Deleted
             | PlatformReply::Listed { .. }
             | PlatformReply::Changed { .. } => {
-                self.fresh = None;
+                self.view_sequence = None;
                 for call in records {
                     if let Some(record) = self.waiting.get_mut(call) {
-                        record.in_doubt = true;
+                        record.write_unknown = true;
                     }
                 }
-                self.after_silence(scene, started)
+                self.on_lost_reply(context, started)
             }
         }
     }
 
-    fn settle_written(
+    fn finish_write(
         &mut self,
         records: Vec<CallId>,
         releases: Vec<CallId>,
--- a/crates/beechsaddle-core/src/once/once_desk.rs
+++ b/crates/beechsaddle-core/src/dedup/dedup_manager.rs
@@ -1,16 +1,17 @@
-//! The `once_desk` module provides the dedup records of the calls of one router, and of other
-//! routers that ask this one to commit.
+//! The `dedup_manager` module provides the dedup records of one router's calls, and of other
+//! routers that request commits from it.
 //!
-//! A call that may not be repeated is dispatched only when a record that names it is durable. Only
-//! the router that took the call dispatches it or gives the record up, and it does one of the two.
+//! A call that may not be repeated is dispatched only after a record that names it is durable. Only
+//! the call's entry router dispatches it or releases the record, and it does exactly one of the
+//! two.
 
 use std::collections::BTreeMap;
 
-use super::OnceOptions;
+use super::DedupOptions;
 use super::open_record::{OpenRecord, RefusedRecord};
-use super::platform_away::PlatformAway;
-use super::record_verdict::{RecordAsker, RecordVerdict, WaitingRecord};
-use super::shard_committer::{CommitScene, ShardCommitter};
+use super::platform_availability::PlatformAvailability;
+use super::record_verdict::{RecordOrigin, RecordVerdict, WaitingRecord};
+use super::shard_committer::{CommitContext, ShardCommitter};
 use crate::action::CoreAction;
 use crate::clock::ClockTime;
 use crate::members::MemberTable;
@@ -22,30 +23,29 @@
 use crate::refusal::{CallRefusal, RefusalReason};
 use crate::signal::CoreSignal;
 
-/// The most that the time between two ticks adds to the age of records, in milliseconds. A clock
-/// that is set forward by a day would else end the retention of every record at once.
-const LONGEST_TICK_MS: u64 = 1_000;
+/// The largest age that records gain between two ticks, in milliseconds. Without it a clock that is
+/// set forward by a day would end the retention of all records at once.
+const MAX_TICK_MS: u64 = 1_000;
 
-/// The duty that makes dedup records durable.
+/// Makes dedup records durable before their calls are dispatched.
 #[derive(Clone, Debug)]
-pub struct OnceDesk {
-    pub(super) options: OnceOptions,
+pub struct DedupManager {
+    pub(super) options: DedupOptions,
     pub(super) me: RouterIncarnation,
     pub(super) committers: BTreeMap<u32, ShardCommitter>,
     pub(super) open: BTreeMap<CallId, OpenRecord>,
     pub(super) refused: BTreeMap<CallId, RefusedRecord>,
     tickets: BTreeMap<u64, u32>,
     next_ticket: u64,
-    pub(super) away: PlatformAway,
-    /// Time that this router has watched pass, in milliseconds.
-    watched_ms: i64,
+    pub(super) availability: PlatformAvailability,
+    /// Elapsed time that this router has observed, in milliseconds.
+    elapsed_ms: i64,
     last_tick: Option<ClockTime>,
 }
 
-impl OnceDesk {
-    /// A desk without records.
-    pub fn new(options: OnceOptions, me: RouterIncarnation) -> Self {
-        OnceDesk {
+impl DedupManager {
+    pub fn new(options: DedupOptions, me: RouterIncarnation) -> Self {
+        DedupManager {
             options,
             me,
             committers: BTreeMap::new(),
@@ -53,18 +53,19 @@
             refused: BTreeMap::new(),
             tickets: BTreeMap::new(),
             next_ticket: 0,
-            away: PlatformAway::default(),
-            watched_ms: 0,
+            availability: PlatformAvailability::default(),
+            elapsed_ms: 0,
             last_tick: None,
         }
     }
 
-    /// Takes the shard count from the fleet's layout. It has to be called before any record.
+    /// Takes the shard count from the fleet's layout. Must be called before any record is
+    /// requested.
     pub fn set_layout(&mut self, layout: &FleetLayout) {
         self.options.shard_count = layout.dedup_shards;
     }
 
-    /// Asks for a record for a call of this router. Exactly one [`CoreSignal::RecordDone`] follows,
+    /// Requests a record for a call of this router. Exactly one [`CoreSignal::RecordDone`] follows,
     /// at the latest at the first tick after `record_timeout_ms`, unless the call is forgotten.
     pub fn record(
         &mut self,
@@ -77,9 +78,9 @@
         if self.open.contains_key(&call) {
             return;
         }
-        let picked = members.picked_for(&format!("dedup/{}", self.shard_of(&key)));
-        let address = members.address_of(&picked).map(str::to_owned);
-        if self.is_crowded() {
+        let committer = members.picked_for(&format!("dedup/{}", self.shard_of(&key)));
+        let address = members.address_of(&committer).map(str::to_owned);
+        if self.is_at_capacity() {
             let outcome = Err(self.unavailable(now));
             outbox.signal(CoreSignal::RecordDone { call, outcome });
             return;
@@ -87,14 +88,14 @@
         let open = OpenRecord {
             key: key.clone(),
             since: now,
-            asked: address.is_some().then(|| picked.clone()),
-            was_asked: address.is_some(),
+            pending_from: address.is_some().then(|| committer.clone()),
+            was_forwarded: address.is_some(),
             is_own: false,
         };
         self.open.insert(call.clone(), open);
         match address {
             Some(address) => outbox.act(CoreAction::Peer {
-                to: picked,
+                to: committer,
                 address,
                 message: PeerMessage::RecordRequest(RecordRequest { call, key }),
             }),
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Gives up the record of a call of this router that was not dispatched and never will be, so
-    /// that its key may run later. A call that still waits for its record gets no signal any more.
+    /// Releases the record of a call of this router that was not and will not be dispatched, so
+    /// that its key may run later. A call that still waits for its record gets no signal.
     pub fn forget(
         &mut self,
         now: ClockTime,
@@ -115,12 +116,12 @@
             return;
         }
         match self.open.remove(call) {
-            Some(open) => self.give_up(now, call, open, false, outbox),
+            Some(open) => self.abandon(now, call, open, false, outbox),
             None => self.release(now, call, key, outbox),
         }
     }
 
-    /// Takes in a message from another router.
+    /// Handles a message from another router.
     pub fn on_peer(
         &mut self,
         now: ClockTime,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Takes in the outcome of a platform call.
+    /// Handles the outcome of a platform call.
     pub fn on_platform(
         &mut self,
         now: ClockTime,
@@ -164,56 +165,56 @@
         let Some(shard) = self.tickets.remove(&ticket.number) else {
             return;
         };
-        let scene = CommitScene {
+        let context = CommitContext {
             now,
-            watched_ms: self.watched_ms,
+            elapsed_ms: self.elapsed_ms,
             options: &self.options,
             me: &self.me,
         };
         let is_answer = !matches!(reply, PlatformReply::Unknown | PlatformReply::Unreachable);
         if is_answer {
-            self.away.note_answer(now);
+            self.availability.record_answer(now);
         }
         let mut verdicts = Vec::new();
         let pause = self
             .committers
             .get_mut(&shard)
-            .and_then(|committer| committer.on_reply(&scene, reply, &mut verdicts));
+            .and_then(|committer| committer.on_reply(&context, reply, &mut verdicts));
         if let Some(pause) = pause {
             self.pause(now, shard, pause, &mut verdicts, outbox);
         }
-        self.tell_verdicts(now, verdicts, outbox);
+        self.send_verdicts(now, verdicts, outbox);
         self.run_committer(now, shard, outbox);
     }
 
-    /// Lets time pass.
+    /// Advances record ages, refuses expired calls and runs due commits.
     pub fn tick(&mut self, now: ClockTime, members: &MemberTable, outbox: &mut CoreOutbox) {
         let passed_ms = self.last_tick.map_or(0, |last| now.since(last));
-        let counted_ms = passed_ms.min(LONGEST_TICK_MS);
-        self.watched_ms = self.watched_ms.saturating_add_unsigned(counted_ms);
+        let counted_ms = passed_ms.min(MAX_TICK_MS);
+        self.elapsed_ms = self.elapsed_ms.saturating_add_unsigned(counted_ms);
         self.last_tick = Some(now);
         self.refuse_overdue(now, outbox);
-        self.take_over_silent(now, members, outbox);
-        let keep_ms = self.options.tombstone_ms;
+        self.take_over_unanswered(now, members, outbox);
+        let tombstone_ms = self.options.tombstone_ms;
         self.refused
-            .retain(|_, refused| now.since(refused.since) < keep_ms);
+            .retain(|_, refused| now.since(refused.since) < tombstone_ms);
         let shards: Vec<u32> = self.committers.keys().copied().collect();
         for shard in shards {
             self.run_committer(now, shard, outbox);
         }
     }
 
-    /// Whether nothing waits here: no call for its record, no record for its commit or release.
+    /// Whether no call waits for its record and no record waits for its commit or release.
     ///
-    /// While the platform is away, releases are not waited for: a router that drains in an outage
-    /// would never exit. What a release that is lost costs is a key that stays taken.
+    /// Releases don't count while the platform is unreachable: a router that drains in an outage
+    /// would never exit. A release that is lost leaves its key taken.
     pub fn is_idle(&self) -> bool {
-        let is_quiet = self.committers.values().all(ShardCommitter::is_quiet);
+        let all_idle = self.committers.values().all(ShardCommitter::is_idle);
         let is_released = self
             .committers
             .values()
             .all(|committer| committer.releases.is_empty());
-        self.open.is_empty() && is_quiet && (is_released || self.away.is_unreachable())
+        self.open.is_empty() && all_idle && (is_released || self.availability.is_unreachable())
     }
 
     fn on_request(
@@ -224,7 +225,7 @@
         members: &MemberTable,
         outbox: &mut CoreOutbox,
     ) {
-        // Only the router that took a call may ask for its record: the answer tells it to dispatch.
+        // Only a call's entry router may request its record, since the reply allows a dispatch.
         if from != request.call.router {
             return;
         }
@@ -233,13 +234,13 @@
         };
         let record = WaitingRecord {
             key: request.key,
-            asker: RecordAsker::Peer {
+            origin: RecordOrigin::Peer {
                 router: from,
                 address,
             },
             since: now,
-            question: 0,
-            in_doubt: false,
+            sequence: 0,
+            write_unknown: false,
         };
         self.queue_record(now, request.call, record, outbox);
     }
@@ -253,8 +254,8 @@
         outbox: &mut CoreOutbox,
     ) {
         let Some(open) = self.open.get_mut(call) else {
-            // The caller was told "not run". A record that turns up now would only keep its key
-            // from running later; it must never lead to a dispatch.
+            // The call was refused as not run. A late record must never lead to a dispatch, and is
+            // released because it would block its key.
             if outcome.is_ok()
                 && let Some(refused) = self.refused.remove(call)
             {
@@ -262,13 +263,13 @@
             }
             return;
         };
-        if open.asked.as_ref() == Some(from) {
-            open.asked = None;
+        if open.pending_from.as_ref() == Some(from) {
+            open.pending_from = None;
         }
         let is_own = open.is_own;
         match outcome {
             Err(refusal) if refusal.reason == RefusalReason::RecordUnavailable => {
-                // The picked router may be cut off from the platform where this one is not.
+                // The committer may be cut off from the platform while this router is not.
                 if !is_own {
                     self.commit_own(now, call, outbox);
                 }
@@ -284,10 +285,10 @@
         open.is_own = true;
         let record = WaitingRecord {
             key: open.key.clone(),
-            asker: RecordAsker::Own,
+            origin: RecordOrigin::Own,
             since: open.since,
-            question: 0,
-            in_doubt: false,
+            sequence: 0,
+            write_unknown: false,
         };
         self.queue_record(now, call.clone(), record, outbox);
     }
@@ -301,16 +302,16 @@
     ) {
         let shard = self.shard_of(&record.key);
         let max_open = self.options.max_open;
-        let is_crowded = self.committer(shard).waiting.len() >= max_open;
-        let is_hopeless = self.is_hopeless(now, &record);
-        if is_crowded || is_hopeless {
+        let is_at_capacity = self.committer(shard).waiting.len() >= max_open;
+        let will_time_out = self.will_time_out(now, &record);
+        if is_at_capacity || will_time_out {
             let outcome = Err(self.unavailable(now));
             let verdict = RecordVerdict {
                 call,
                 record,
                 outcome,
             };
-            self.tell_verdicts(now, vec![verdict], outbox);
+            self.send_verdicts(now, vec![verdict], outbox);
             return;
         }
         self.committer(shard).add_record(call, record);
@@ -318,16 +319,16 @@
     }
 
     pub(super) fn run_committer(&mut self, now: ClockTime, shard: u32, outbox: &mut CoreOutbox) {
-        let scene = CommitScene {
+        let context = CommitContext {
             now,
-            watched_ms: self.watched_ms,
+            elapsed_ms: self.elapsed_ms,
             options: &self.options,
             me: &self.me,
         };
         let mut verdicts = Vec::new();
         let call = match self.committers.get_mut(&shard) {
-            Some(committer) if !self.away.is_paused(now) => {
-                committer.advance(&scene, &mut verdicts)
+            Some(committer) if !self.availability.is_paused(now) => {
+                committer.advance(&context, &mut verdicts)
             }
             Some(_) | None => None,
         };
@@ -340,6 +341,6 @@
             self.tickets.insert(ticket.number, shard);
             outbox.act(CoreAction::Platform { ticket, call });
         }
-        self.tell_verdicts(now, verdicts, outbox);
+        self.send_verdicts(now, verdicts, outbox);
     }
 }
--- a/crates/beechsaddle-core/src/once/record_outcome.rs
+++ b/crates/beechsaddle-core/src/dedup/record_outcome.rs
@@ -1,9 +1,9 @@
-//! The `record_outcome` module provides how a call's wait for its record comes to an end.
+//! The `record_outcome` module provides the ways in which a call's wait for its record ends.
 
-use super::OnceDesk;
+use super::DedupManager;
 use super::commit_reply::PlatformPause;
 use super::open_record::{OpenRecord, RefusedRecord};
-use super::record_verdict::{RecordAsker, RecordVerdict, WaitingRecord};
+use super::record_verdict::{RecordOrigin, RecordVerdict, WaitingRecord};
 use super::shard_committer::ShardCommitter;
 use crate::action::CoreAction;
 use crate::clock::ClockTime;
@@ -16,8 +16,8 @@
 use crate::report::{LogLevel, LogLine, ReportAction};
 use crate::signal::CoreSignal;
 
-impl OnceDesk {
-    /// Refuses the calls whose time is over.
+impl DedupManager {
+    /// Refuses the calls whose record timeout has passed.
     pub(super) fn refuse_overdue(&mut self, now: ClockTime, outbox: &mut CoreOutbox) {
         let timeout_ms = self.options.record_timeout_ms;
         for call in self.calls_where(|open| now.since(open.since) >= timeout_ms) {
@@ -26,29 +26,29 @@
         }
     }
 
-    /// Commits the records itself for which the picked router is dead, frozen or cut off.
-    pub(super) fn take_over_silent(
+    /// Commits the records whose committer is dead, frozen or unreachable.
+    pub(super) fn take_over_unanswered(
         &mut self,
         now: ClockTime,
         members: &MemberTable,
         outbox: &mut CoreOutbox,
     ) {
         let handover_ms = self.options.handover_ms;
-        let silent = self.calls_where(|open| {
+        let unanswered = self.calls_where(|open| {
             let is_live = open
-                .asked
+                .pending_from
                 .as_ref()
-                .and_then(|asked| members.get(asked))
+                .and_then(|pending_from| members.get(pending_from))
                 .is_some_and(|entry| entry.liveness == MemberLiveness::Live);
             !open.is_own && (!is_live || now.since(open.since) >= handover_ms)
         });
-        for call in silent {
+        for call in unanswered {
             self.commit_own(now, &call, outbox);
         }
     }
 
-    /// Tells askers what came of their records.
-    pub(super) fn tell_verdicts(
+    /// Sends outcomes to the calls and routers that requested records.
+    pub(super) fn send_verdicts(
         &mut self,
         now: ClockTime,
         verdicts: Vec<RecordVerdict>,
@@ -60,12 +60,12 @@
                 record,
                 outcome,
             } = verdict;
-            match record.asker {
-                RecordAsker::Own => self.finish(now, &call, outcome, record.in_doubt, outbox),
-                // Silence makes the asker look for itself and, if it cannot, release the record.
-                // A refusal would tell it that there is nothing to release.
-                RecordAsker::Peer { .. } if record.in_doubt && is_unavailable(&outcome) => {}
-                RecordAsker::Peer { router, address } => outbox.act(CoreAction::Peer {
+            match record.origin {
+                RecordOrigin::Own => self.finish(now, &call, outcome, record.write_unknown, outbox),
+                // Without a reply the requesting router looks for the record itself and, if it
+                // cannot, releases it. A refusal would mean that there is nothing to release.
+                RecordOrigin::Peer { .. } if record.write_unknown && is_unavailable(&outcome) => {}
+                RecordOrigin::Peer { router, address } => outbox.act(CoreAction::Peer {
                     to: router,
                     address,
                     message: PeerMessage::RecordReply { call, outcome },
@@ -74,20 +74,20 @@
         }
     }
 
-    /// Ends a call's wait, unless it has ended before.
+    /// Ends a call's wait, unless it ended before.
     pub(super) fn finish(
         &mut self,
         now: ClockTime,
         call: &CallId,
         outcome: Result<(), CallRefusal>,
-        in_doubt: bool,
+        write_unknown: bool,
         outbox: &mut CoreOutbox,
     ) {
         let Some(open) = self.open.remove(call) else {
             return;
         };
-        // A router that was frozen may find an answer from long ago. By now the record may have
-        // expired and its key been dispatched again by another call: the answer is not acted upon.
+        // A router that was frozen may read an old reply. The record may have expired since and its
+        // key may have been dispatched by another call, so a late success is refused.
         let is_late = now.since(open.since) > self.options.record_timeout_ms;
         let outcome = match outcome {
             Ok(()) if is_late => Err(self.unavailable(now)),
@@ -98,7 +98,7 @@
                 let shard = self.shard_of(&open.key);
                 self.committer(shard).drop_record(call);
             }
-            Err(_) => self.give_up(now, call, open, in_doubt || is_late, outbox),
+            Err(_) => self.abandon(now, call, open, write_unknown || is_late, outbox),
         }
         outbox.signal(CoreSignal::RecordDone {
             call: call.clone(),
@@ -106,20 +106,20 @@
         });
     }
 
-    /// Sees to it that the record of a call that is not dispatched does not stay.
-    pub(super) fn give_up(
+    /// Removes the record of a call that will not be dispatched.
+    pub(super) fn abandon(
         &mut self,
         now: ClockTime,
         call: &CallId,
         open: OpenRecord,
-        in_doubt: bool,
+        write_unknown: bool,
         outbox: &mut CoreOutbox,
     ) {
         let shard = self.shard_of(&open.key);
         let is_written = self.committer(shard).drop_record(call);
-        if in_doubt || is_written || open.asked.is_some() {
+        if write_unknown || is_written || open.pending_from.is_some() {
             self.release(now, call, &open.key, outbox);
-        } else if open.was_asked {
+        } else if open.was_forwarded {
             self.remember_refused(now, call, open.key);
         }
     }
@@ -132,7 +132,7 @@
         self.refused.insert(call.clone(), refused);
     }
 
-    /// Makes durable that a call gave its key up.
+    /// Queues a durable release of the call's key.
     pub(super) fn release(
         &mut self,
         now: ClockTime,
@@ -145,7 +145,7 @@
         self.run_committer(now, shard, outbox);
     }
 
-    /// Leaves the platform alone and refuses the records that cannot wait for it.
+    /// Pauses platform calls and refuses the records that cannot wait.
     pub(super) fn pause(
         &mut self,
         now: ClockTime,
@@ -154,10 +154,10 @@
         verdicts: &mut Vec<RecordVerdict>,
         outbox: &mut CoreOutbox,
     ) {
-        let backoff_ms = self.options.away_backoff_ms;
+        let backoff_ms = self.options.unavailable_backoff_ms;
         match pause {
-            PlatformPause::Unreachable => self.away.begin(now, backoff_ms, true),
-            PlatformPause::Throttled(pause_ms) => self.away.begin(now, pause_ms, false),
+            PlatformPause::Unreachable => self.availability.pause(now, backoff_ms, true),
+            PlatformPause::Throttled(pause_ms) => self.availability.pause(now, pause_ms, false),
             PlatformPause::Invalid => {
                 let refusal = self.unavailable(now);
                 let committer = self.committer(shard);
@@ -172,25 +172,26 @@
             }
         }
         let refusal = self.unavailable(now);
-        let away = self.away;
+        let availability = self.availability;
         let timeout_ms = self.options.record_timeout_ms;
         for committer in self.committers.values_mut() {
-            let is_hopeless = |record: &WaitingRecord| away.is_hopeless(now, record, timeout_ms);
-            committer.refuse_waiting(&refusal, is_hopeless, verdicts);
+            let will_time_out =
+                |record: &WaitingRecord| availability.will_time_out(now, record, timeout_ms);
+            committer.refuse_waiting(&refusal, will_time_out, verdicts);
         }
     }
 
-    /// Whether a new record cannot be had in time.
-    pub(super) fn is_hopeless(&self, now: ClockTime, record: &WaitingRecord) -> bool {
+    /// Whether a new record would time out.
+    pub(super) fn will_time_out(&self, now: ClockTime, record: &WaitingRecord) -> bool {
         let timeout_ms = self.options.record_timeout_ms;
-        self.away.is_hopeless(now, record, timeout_ms)
+        self.availability.will_time_out(now, record, timeout_ms)
             || self
-                .away
-                .is_silent(now, timeout_ms, self.committers.values())
+                .availability
+                .is_unresponsive(now, timeout_ms, self.committers.values())
     }
 
-    /// Whether no further call can be taken in.
-    pub(super) fn is_crowded(&self) -> bool {
+    /// Whether `max_open` is reached.
+    pub(super) fn is_at_capacity(&self) -> bool {
         let releases: usize = self
             .committers
             .values()
@@ -199,9 +200,12 @@
         self.open.len() + releases >= self.options.max_open
     }
 
-    /// The refusal of a call whose record cannot be made now.
+    /// Returns the refusal for a call whose record cannot be made durable now.
     pub(super) fn unavailable(&self, now: ClockTime) -> CallRefusal {
-        let pause_ms = self.away.pause_ms(now).max(self.options.away_backoff_ms);
+        let pause_ms = self
+            .availability
+            .pause_ms(now)
+            .max(self.options.unavailable_backoff_ms);
         CallRefusal::not_run(RefusalReason::RecordUnavailable, Some(pause_ms))
     }
 
@@ -215,10 +219,10 @@
         shard_of(key.to_string(), self.options.shard_count)
     }
 
-    fn calls_where(&self, is_meant: impl Fn(&OpenRecord) -> bool) -> Vec<CallId> {
+    fn calls_where(&self, is_selected: impl Fn(&OpenRecord) -> bool) -> Vec<CallId> {
         self.open
             .iter()
-            .filter(|(_, open)| is_meant(open))
+            .filter(|(_, open)| is_selected(open))
             .map(|(call, _)| call.clone())
             .collect()
     }
--- a/crates/beechsaddle-core/src/event.rs
+++ b/crates/beechsaddle-core/src/event.rs
@@ -1,4 +1,4 @@
-//! The `event` module provides everything that can happen to the core.
+//! The `event` module provides all inputs of the core.
 
 use serde::Serialize;
 
@@ -8,7 +8,7 @@
 use crate::platform::{PlatformReply, PlatformTicket};
 use crate::target::TargetEvent;
 
-/// Something that an edge tells the core.
+/// An input of the core, raised by an edge.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum CoreEvent {
     /// Raised once when the router starts.
@@ -19,28 +19,24 @@
     Call(CallEvent),
     /// The outcome of a platform call.
     Platform {
-        /// The call.
         ticket: PlatformTicket,
-        /// Its outcome.
         reply: PlatformReply,
     },
-    /// A message from another router whose shared secret was checked.
+    /// A message from another router whose shared secret was verified.
     Peer {
-        /// The sender.
         from: RouterIncarnation,
-        /// The message.
         message: PeerMessage,
     },
     /// The outcome of a probe or an order.
     Target(TargetEvent),
-    /// An operator asks for the router's status.
+    /// An operator requests the router's status.
     StatusQuery {
-        /// Matches the answer to the question.
+        /// Correlates the reply with the query.
         query: u64,
     },
-    /// The router was asked to shut down gracefully.
+    /// Requests a graceful shutdown.
     Drain,
 }
 
-/// How often [`CoreEvent::Tick`] is raised, in milliseconds.
+/// The interval of [`CoreEvent::Tick`] in milliseconds.
 pub const TICK_MS: u64 = 50;
--- a/crates/beechsaddle-core/src/hash.rs
+++ b/crates/beechsaddle-core/src/hash.rs
@@ -1,38 +1,38 @@
-//! The `hash` module provides the one hash that placement and sharding use.
+//! The `hash` module provides the hash functions for placement and sharding.
 
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
-/// Hashes text the same way on every router and in every version.
+/// Hashes text identically on every router and in every version.
 pub fn stable_hash(text: impl AsRef<[u8]>) -> u64 {
     xxh3_64(text.as_ref())
 }
 
-/// A hash of 128 bits over several parts, the same on every router and in every version.
+/// A 128-bit hash over several parts, identical on every router and in every version.
 #[derive(Default)]
 pub struct WideHash {
     state: Xxh3,
 }
 
 impl WideHash {
-    /// Adds a part. Its length counts too, so that parts do not run into each other.
+    /// Adds a part. Its length is hashed too, so that parts have distinct boundaries.
     pub fn add(&mut self, part: &[u8]) {
         self.state.update(&(part.len() as u64).to_le_bytes());
         self.state.update(part);
     }
 
-    /// The hash of all parts.
+    /// Returns the hash of all parts.
     pub fn finish(&self) -> u128 {
         self.state.digest128()
     }
 }
 
-/// The shard of `shard_count` that `name` belongs to; zero shards count as one.
+/// Returns the shard of `name` among `shard_count`; zero shards count as one.
 pub fn shard_of(name: impl AsRef<str>, shard_count: u32) -> u32 {
     let count = u64::from(shard_count.max(1));
     (stable_hash(name.as_ref()) % count) as u32
 }
 
-/// The weight of `member` for `name` in rendezvous hashing; the highest weight is picked.
+/// Returns the rendezvous-hashing weight of `member` for `name`; the highest weight wins.
 pub fn rendezvous_weight(name: &str, member: &str) -> u64 {
     let mut text = Vec::with_capacity(name.len() + member.len() + 1);
     text.extend_from_slice(name.as_bytes());
@@ -41,11 +41,11 @@
     stable_hash(text)
 }
 
-/// How many bytes of a prompt one prefix block covers.
+/// The number of prompt bytes in one prefix block.
 pub const PREFIX_BLOCK_BYTES: usize = 256;
 
-/// Hashes of the full leading blocks of a prompt, each covering all blocks before it, so that equal
-/// hashes mean equal prefixes.
+/// Returns hashes of the full leading blocks of a prompt, each covering all blocks before it, so
+/// that equal hashes mean equal prefixes.
 pub fn prefix_chain(prompt: impl AsRef<[u8]>) -> Vec<u64> {
     let mut chain = Vec::new();
     let mut previous = 0_u64;
--- a/crates/beechsaddle-core/src/lib.rs
+++ b/crates/beechsaddle-core/src/lib.rs
@@ -1,8 +1,9 @@
 //! Shared types and all decisions of the beechsaddle router.
 //!
-//! The crate does no input or output, reads no system clock and draws no global random numbers:
-//! [`CoreEvent`](event::CoreEvent)s go in, [`CoreAction`](action::CoreAction)s come out, and the
-//! same events always give the same actions. The edges in the `beechsaddle` crate carry them.
+//! The crate does no I/O, reads no system clock and uses no global random numbers:
+//! [`CoreEvent`](event::CoreEvent)s are its inputs, [`CoreAction`](action::CoreAction)s its
+//! outputs, and the same events always give the same actions. The edges in the `beechsaddle` crate
+//! raise the events and carry out the actions.
 
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
@@ -15,13 +16,13 @@
 pub mod calls;
 pub mod catalogue;
 pub mod clock;
+pub mod dedup;
 pub mod event;
 pub mod gateway;
 pub mod hash;
 pub mod members;
 pub mod names;
 pub mod objects;
-pub mod once;
 pub mod orders;
 pub mod outbox;
 pub mod peer;
--- a/crates/beechsaddle-core/src/members/heartbeat_update.rs
+++ b/crates/beechsaddle-core/src/members/heartbeat_update.rs
@@ -1,7 +1,7 @@
 //! The `heartbeat_update` module provides the parts of a heartbeat that other modules contribute.
 
 use crate::objects::FleetLayout;
-use crate::peer::{LimitUse, TargetNews};
+use crate::peer::{LimitUse, TargetUpdate};
 
 /// The parts of a heartbeat that other modules contribute.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -10,7 +10,7 @@
     pub catalogue_revision: u64,
     /// The shard counts of the fleet, if known.
     pub layout: Option<FleetLayout>,
-    pub targets: Vec<TargetNews>,
+    pub targets: Vec<TargetUpdate>,
     /// The use of shared limits.
     pub limits: Vec<LimitUse>,
 }
--- a/crates/beechsaddle-core/src/members/heartbeat_writer.rs
+++ b/crates/beechsaddle-core/src/members/heartbeat_writer.rs
@@ -6,7 +6,7 @@
 use super::{HeartbeatUpdate, MemberLiveness, MemberTable};
 use crate::clock::ClockTime;
 use crate::names::RouterIncarnation;
-use crate::peer::{LimitUse, PeerHeartbeat, RouterNews, RouterState, TargetNews};
+use crate::peer::{LimitUse, PeerHeartbeat, RouterState, RouterUpdate, TargetUpdate};
 
 /// Creates the heartbeats of one period.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     }
 
     /// Target and limit updates, which are only sent within a domain.
-    fn shared_updates(&self, receiver: &HeartbeatReceiver) -> (Vec<TargetNews>, Vec<LimitUse>) {
+    fn shared_updates(&self, receiver: &HeartbeatReceiver) -> (Vec<TargetUpdate>, Vec<LimitUse>) {
         match receiver.cross_domain {
             true => (Vec::new(), Vec::new()),
             false => (self.update.targets.clone(), self.update.limits.clone()),
@@ -49,7 +49,7 @@
     /// Live routers of the own domain that the receiver may not know. Another domain gets the
     /// bridges only; within the domain, a new router gets all routers, and all routers get the new
     /// one.
-    fn router_updates(&self, now: ClockTime, receiver: &HeartbeatReceiver) -> Vec<RouterNews> {
+    fn router_updates(&self, now: ClockTime, receiver: &HeartbeatReceiver) -> Vec<RouterUpdate> {
         let receiver_recent = self.recent.contains_key(&receiver.router);
         let wanted = |router: &RouterIncarnation| match receiver.cross_domain {
             true => self.bridges.contains(router),
@@ -66,7 +66,7 @@
                     && router.host != receiver.router.host
                     && wanted(router)
             })
-            .map(|(router, entry)| RouterNews {
+            .map(|(router, entry)| RouterUpdate {
                 router: router.clone(),
                 domain: entry.domain.clone(),
                 address: entry.address.clone(),
@@ -78,8 +78,8 @@
 
     /// The entry of this router; in a heartbeat to another domain it announces this router as a
     /// bridge.
-    fn own_update(&self) -> RouterNews {
-        RouterNews {
+    fn own_update(&self) -> RouterUpdate {
+        RouterUpdate {
             router: self.table.me().clone(),
             domain: self.table.domain().clone(),
             address: self.address.to_string(),
--- a/crates/beechsaddle-core/src/members/member_manager.rs
+++ b/crates/beechsaddle-core/src/members/member_manager.rs
@@ -15,7 +15,7 @@
 use crate::clock::ClockTime;
 use crate::names::{DomainName, RouterIncarnation};
 use crate::outbox::CoreOutbox;
-use crate::peer::{PeerHeartbeat, PeerMessage, RouterNews, RouterState};
+use crate::peer::{PeerHeartbeat, PeerMessage, RouterState, RouterUpdate};
 use crate::platform::{PlatformReply, PlatformTicket};
 use crate::signal::CoreSignal;
 use crate::status::PeerStatus;
@@ -222,7 +222,7 @@
         }
     }
 
-    fn learn_routers(&mut self, now: ClockTime, routers: &[RouterNews]) {
+    fn learn_routers(&mut self, now: ClockTime, routers: &[RouterUpdate]) {
         for update in routers {
             // Bridges of other domains stay known through indirect reports as long as these
             // continue.
--- a/crates/beechsaddle-core/src/members/peer_contacts.rs
+++ b/crates/beechsaddle-core/src/members/peer_contacts.rs
@@ -5,7 +5,7 @@
 use super::{HostList, HostRole, SeedPeer};
 use crate::clock::ClockTime;
 use crate::names::{DomainName, HostName};
-use crate::peer::RouterNews;
+use crate::peer::RouterUpdate;
 
 /// How long an indirect report of a router is retained without being repeated, in milliseconds.
 const INDIRECT_RETENTION_MS: u64 = 60_000;
@@ -64,7 +64,7 @@
     }
 
     /// Records another router's report of a third one.
-    pub fn record_indirect(&mut self, now: ClockTime, update: &RouterNews) {
+    pub fn record_indirect(&mut self, now: ClockTime, update: &RouterUpdate) {
         let contact = PeerContact {
             domain: update.domain.clone(),
             address: update.address.clone(),
--- a/crates/beechsaddle-core/src/names.rs
+++ b/crates/beechsaddle-core/src/names.rs
@@ -1,4 +1,4 @@
-//! The `names` module provides shared immutable names and the identities made of them.
+//! The `names` module provides shared immutable names and the ids that contain them.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -14,12 +14,11 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Makes the name; the text is copied once and shared from then on.
+            /// Creates the name; the text is copied once and shared by all clones.
             pub fn new(text: impl AsRef<str>) -> Self {
                 $name(Arc::from(text.as_ref()))
             }
 
-            /// The name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -58,7 +57,7 @@
 }
 
 shared_name! {
-    /// The name of a host, either a router's or a target's.
+    /// The name of a router's or target's host.
     HostName
 }
 shared_name! {
@@ -86,19 +85,18 @@
     TargetName
 }
 shared_name! {
-    /// The name of a route.
     RouteName
 }
 shared_name! {
-    /// The person or team that answers for a catalogue entry.
+    /// The person or team responsible for a catalogue entry.
     OwnerName
 }
 shared_name! {
-    /// The id of a top-up; applying one id twice has the effect of once.
+    /// The id of a top-up; an id is applied only once.
     TopUpId
 }
 shared_name! {
-    /// The key of an object at the platform, parts joined by `/`.
+    /// The key of an object on the platform, with parts joined by `/`.
     ObjectKey
 }
 shared_name! {
@@ -106,17 +104,16 @@
     KeyText
 }
 
-/// One life of a router process; a restart on the same host is another incarnation.
+/// One run of a router process; a restart on the same host is another incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RouterIncarnation {
-    /// The host the router runs on.
+    /// The host of the router.
     pub host: HostName,
-    /// A number that differs between lives on one host; later lives have higher numbers.
+    /// Distinguishes incarnations on one host; later ones have higher numbers.
     pub epoch: u64,
 }
 
 impl RouterIncarnation {
-    /// Joins a host and an epoch.
     pub fn new(host: impl Into<HostName>, epoch: u64) -> Self {
         RouterIncarnation {
             host: host.into(),
@@ -131,10 +128,10 @@
     }
 }
 
-/// Identifies one call that a router took from a caller; no two calls ever share it.
+/// Identifies one call that a router took from a caller; never reused.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId {
-    /// The router that took the call.
+    /// The call's entry router.
     pub router: RouterIncarnation,
     /// Counts the calls of that incarnation.
     pub number: u64,
@@ -146,10 +143,9 @@
     }
 }
 
-/// Identifies one dispatch of a call to a target; sent to the target, checked on its answer.
+/// Identifies one dispatch of a call to a target; sent to the target and verified on its answer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The call that is tried.
     pub call: CallId,
     /// Counts the attempts of that call from zero.
     pub ordinal: u32,
@@ -161,23 +157,21 @@
     }
 }
 
-/// Who chose an idempotency key.
+/// The origin of an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum KeyOrigin {
-    /// The caller sent it and may send it again, through any router.
+    /// The caller sent the key and may send it again, through any router.
     Caller,
-    /// The router made it; it cannot come twice.
+    /// The router generated the key; it cannot be sent again.
     Router,
 }
 
-/// The idempotency key of a request; there is one bill for each.
+/// The idempotency key of a request; each key has one bill.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestKey {
-    /// The workspace whose keys these are.
+    /// The workspace in which the key is unique.
     pub workspace: WorkspaceName,
-    /// The key itself.
     pub text: KeyText,
-    /// Who chose it.
     pub origin: KeyOrigin,
 }
 
--- a/crates/beechsaddle-core/src/orders/fence_claim.rs
+++ b/crates/beechsaddle-core/src/orders/fence_claim.rs
@@ -1,16 +1,16 @@
-//! The `fence_claim` module provides how a router comes by the fencing number of a target.
+//! The `fence_claim` module provides how a router obtains the fencing number of a target.
 
-use super::order_desk::fence_key;
+use super::order_manager::fence_key;
 use super::target_orders::OrderStep;
-use super::{OrderDesk, OrderFence};
+use super::{OrderFence, OrderManager};
 use crate::clock::ClockTime;
 use crate::names::TargetName;
 use crate::objects::PlatformObject;
 use crate::outbox::CoreOutbox;
 use crate::platform::{PlatformCall, PlatformReply, PlatformTicket, WriteGuard};
 
-impl OrderDesk {
-    /// Takes in the outcome of a platform call.
+impl OrderManager {
+    /// Handles the outcome of a platform call.
     pub fn on_platform(
         &mut self,
         now: ClockTime,
@@ -24,13 +24,13 @@
         let Some(orders) = self.targets.get_mut(&target) else {
             return;
         };
-        match std::mem::replace(&mut orders.step, OrderStep::Rest) {
+        match std::mem::replace(&mut orders.step, OrderStep::Idle) {
             OrderStep::Read { started } => self.on_read(now, &target, started, reply, outbox),
             OrderStep::Claim { started, fence } => {
                 self.on_claimed(now, &target, started, fence, reply, outbox);
             }
-            // The target was removed and came back while its old call was in flight.
-            step @ (OrderStep::Rest | OrderStep::Order) => orders.step = step,
+            // The target was removed and added again while the call was in flight.
+            step @ (OrderStep::Idle | OrderStep::Order) => orders.step = step,
         }
     }
 
@@ -49,9 +49,9 @@
                     let guard = WriteGuard::Version(stored.version);
                     self.on_fence(now, target, started, fence, guard, outbox);
                 }
-                Some(_) | None => self.wait(now, target, self.options.yield_ms),
+                Some(_) | None => self.delay(now, target, self.options.takeover_ms),
             },
-            PlatformReply::Throttled { retry_after_ms } => self.wait(now, target, retry_after_ms),
+            PlatformReply::Throttled { retry_after_ms } => self.delay(now, target, retry_after_ms),
             PlatformReply::Written { .. }
             | PlatformReply::Deleted
             | PlatformReply::Conflict
@@ -59,11 +59,12 @@
             | PlatformReply::Changed { .. }
             | PlatformReply::Unreachable
             | PlatformReply::Unknown
-            | PlatformReply::Invalid => self.wait(now, target, self.options.retry_ms),
+            | PlatformReply::Invalid => self.delay(now, target, self.options.retry_ms),
         }
     }
 
-    /// Decides by the fence that stands whether to order, to take over, or to leave it to others.
+    /// Decides by the stored fence whether to order, to take over, or to leave the target to
+    /// another router.
     fn on_fence(
         &mut self,
         now: ClockTime,
@@ -73,26 +74,26 @@
         guard: WriteGuard,
         outbox: &mut CoreOutbox,
     ) {
-        let is_fresh = now.since(started) <= self.options.fresh_ms;
+        let is_fresh = now.since(started) <= self.options.max_answer_age_ms;
         let is_live = fence.issuer != self.me && self.live.contains(&fence.issuer);
-        let yield_ms = self.options.yield_ms;
+        let takeover_ms = self.options.takeover_ms;
         let retry_ms = self.options.retry_ms;
         let Some(orders) = self.targets.get_mut(target).filter(|_| is_fresh) else {
-            // The router was frozen between the question and the answer. Who orders now may be
-            // another; it asks again.
+            // The router was frozen between the request and the reply. Another router may be in
+            // charge by now, so the fence is read again.
             return;
         };
         if fence.revision > self.revision {
-            // This router has missed a change of the catalogue. To order by the old one would
-            // bring back a model that operators have replaced.
-            self.wait(now, target, retry_ms);
+            // This router has missed a catalogue change. An order by the old catalogue would
+            // restore a model that operators have replaced.
+            self.delay(now, target, retry_ms);
         } else if orders.is_own(&self.me, &fence) && fence.revision == self.revision {
             orders.held = Some(fence);
             self.send_order(now, target, outbox);
-        } else if is_live && !orders.outlasts_rival(now, &fence, yield_ms) {
-            // Two routers that both think they are picked would else overtake each other at every
-            // check.
-            self.wait(now, target, retry_ms);
+        } else if is_live && !orders.has_competitor_timed_out(now, &fence, takeover_ms) {
+            // Two routers that both rank themselves first for the target would otherwise take over
+            // from each other at every check.
+            self.delay(now, target, retry_ms);
         } else {
             self.claim(now, target, Some(&fence), guard, outbox);
         }
@@ -106,8 +107,8 @@
         guard: WriteGuard,
         outbox: &mut CoreOutbox,
     ) {
-        // Between question and answer another router may have been picked.
-        if !self.wanted.contains_key(target) {
+        // Another router may have been picked between the request and the reply.
+        if !self.desired.contains_key(target) {
             return;
         }
         let fence = self.next_fence(found);
@@ -135,20 +136,20 @@
         reply: PlatformReply,
         outbox: &mut CoreOutbox,
     ) {
-        let is_fresh = now.since(started) <= self.options.fresh_ms;
+        let is_fresh = now.since(started) <= self.options.max_answer_age_ms;
         match reply {
             PlatformReply::Written { .. } => {
                 if let Some(orders) = self.targets.get_mut(target) {
                     orders.held = Some(fence);
-                    orders.rival = None;
+                    orders.competitor = None;
                 }
                 if is_fresh {
                     self.send_order(now, target, outbox);
                 }
             }
-            PlatformReply::Throttled { retry_after_ms } => self.wait(now, target, retry_after_ms),
-            // Also where the answer was lost: what is read next tells whose number it is. Ordering
-            // with it before would let two routers order with one number.
+            PlatformReply::Throttled { retry_after_ms } => self.delay(now, target, retry_after_ms),
+            // This includes a lost reply: the next read shows whose number it is. An order before
+            // that could let two routers use one number.
             PlatformReply::Conflict
             | PlatformReply::Unknown
             | PlatformReply::Found(_)
@@ -157,13 +158,13 @@
             | PlatformReply::Listed { .. }
             | PlatformReply::Changed { .. }
             | PlatformReply::Unreachable
-            | PlatformReply::Invalid => self.wait(now, target, self.options.retry_ms),
+            | PlatformReply::Invalid => self.delay(now, target, self.options.retry_ms),
         }
     }
 
-    fn wait(&mut self, now: ClockTime, target: &TargetName, span_ms: u64) {
+    fn delay(&mut self, now: ClockTime, target: &TargetName, delay_ms: u64) {
         if let Some(orders) = self.targets.get_mut(target) {
-            orders.wait_until = now.plus_ms(span_ms);
+            orders.wait_until = now.plus_ms(delay_ms);
         }
     }
 }
--- a/crates/beechsaddle-core/src/orders/model_plan.rs
+++ b/crates/beechsaddle-core/src/orders/model_plan.rs
@@ -1,10 +1,9 @@
-//! The `model_plan` module provides which target of a service serves which of its models.
+//! The `model_plan` module provides the assignment of a service's models to its targets.
 //!
-//! A service with one model has it on all its targets. Where several models share a service, each
-//! model in the order of names first claims the free target that weighs most for it by rendezvous
-//! hashing, so that none is left without; every other target serves the model that weighs most for
-//! it. A target that comes or goes changes the model of few others, since each change is a load of
-//! weights.
+//! A service with one model has it on all its targets. If several models share a service, each
+//! model, in name order, first claims the free target with the highest rendezvous weight, so that
+//! every model is served; every other target serves the model with the highest weight. Adding or
+//! removing a target changes the model of few others, since each change loads weights.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,8 +13,8 @@
 use crate::names::TargetName;
 use crate::target::EngineState;
 
-/// The state that each of a service's targets shall reach; nothing where there is no model. With
-/// fewer targets than models, the models that come last by name have none.
+/// Returns the desired state of each target; empty without models. With fewer targets than models,
+/// the models that are last by name are not served.
 pub fn plan_models(
     models: &[Arc<ModelEntry>],
     targets: &BTreeSet<TargetName>,
@@ -38,12 +37,12 @@
     plan
 }
 
-/// Whether two states are the same but for the order of adapters.
+/// Whether two states are equal apart from the order of adapters.
 pub(super) fn is_same_state(left: &EngineState, right: &EngineState) -> bool {
     is_same_weights(left, right) && left.role == right.role
 }
 
-/// Whether going from one state to the other takes nothing from the weight store.
+/// Whether a change between the states loads nothing from the weight store.
 pub(super) fn is_same_weights(left: &EngineState, right: &EngineState) -> bool {
     let left_adapters: BTreeSet<&String> = left.adapters.iter().collect();
     let right_adapters: BTreeSet<&String> = right.adapters.iter().collect();
--- a/crates/beechsaddle-core/src/orders/order_fence.rs
+++ b/crates/beechsaddle-core/src/orders/order_fence.rs
@@ -4,13 +4,12 @@
 
 use crate::names::RouterIncarnation;
 
-/// Who orders a target, at `orders/<target>`.
+/// The router that orders a target, stored at `orders/<target>`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderFence {
-    /// Grows by one each time a router takes over, or orders by a newer catalogue.
+    /// Grows by one each time a router takes over or orders by a newer catalogue.
     pub number: u64,
-    /// The router that orders.
     pub issuer: RouterIncarnation,
-    /// The catalogue revision that it orders by; no router takes over with an older one.
+    /// The catalogue revision of the orders; no router takes over with an older one.
     pub revision: u64,
 }
--- a/crates/beechsaddle-core/src/orders/order_desk.rs
+++ b/crates/beechsaddle-core/src/orders/order_manager.rs
@@ -1,9 +1,9 @@
-//! The `order_desk` module provides the orders of one router to the engines of its domain.
+//! The `order_manager` module provides the orders of one router to the engines of its domain.
 //!
-//! An order carries a fencing number that was taken by a conditional update, and states the whole
-//! state that the engine shall reach. Engines that check the number refuse the orders of a router
-//! that was overtaken. For those that do not, the number is read again before each order, and the
-//! router that is in charge repeats its order until the engine reports the declared state.
+//! An order carries a fencing number that was obtained by a conditional update, and the whole
+//! desired state of the engine. Engines that check the number reject orders of a router that was
+//! replaced. For engines that do not check it, the number is read again before each order, and the
+//! router in charge repeats its order until the engine reports the declared state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,15 +20,15 @@
 use crate::platform::{PlatformCall, PlatformDuty, PlatformTicket};
 use crate::target::{EngineState, OrderOutcome, TargetAction};
 
-/// The duty that gets engines into their declared states.
+/// Brings engines to their declared states.
 #[derive(Debug)]
-pub struct OrderDesk {
+pub struct OrderManager {
     pub(super) options: OrderOptions,
     pub(super) me: RouterIncarnation,
     pub(super) targets: BTreeMap<TargetName, TargetOrders>,
     pub(super) tickets: BTreeMap<u64, TargetName>,
-    /// What each target shall reach, as of the last check; only for targets this router orders.
-    pub(super) wanted: BTreeMap<TargetName, EngineState>,
+    /// The desired state of each target that this router orders, as of the last check.
+    pub(super) desired: BTreeMap<TargetName, EngineState>,
     pub(super) revision: u64,
     pub(super) live: BTreeSet<RouterIncarnation>,
     pub(super) limiter: LoadLimiter,
@@ -37,15 +37,14 @@
     next_check: ClockTime,
 }
 
-impl OrderDesk {
-    /// A desk that knows no target.
+impl OrderManager {
     pub fn new(options: OrderOptions, me: RouterIncarnation) -> Self {
-        OrderDesk {
+        OrderManager {
             options,
             me,
             targets: BTreeMap::new(),
             tickets: BTreeMap::new(),
-            wanted: BTreeMap::new(),
+            desired: BTreeMap::new(),
             revision: 0,
             live: BTreeSet::new(),
             limiter: LoadLimiter::default(),
@@ -55,8 +54,8 @@
         }
     }
 
-    /// Takes in what is known of an engine of the own domain; `reported` is `None` when the probe
-    /// failed. Every router hears of every engine, since the plan of a service needs all of them.
+    /// Updates the state of an engine of the own domain; `reported` is `None` when the probe
+    /// failed. Every router needs all engines of a service for the plan.
     pub fn on_target_state(
         &mut self,
         now: ClockTime,
@@ -66,10 +65,10 @@
         checks_fence: bool,
         reported: Option<EngineState>,
     ) {
-        let fresh = TargetOrders::new(address.clone(), service.clone(), checks_fence);
-        let orders = self.targets.entry(target).or_insert(fresh);
+        let added = TargetOrders::new(address.clone(), service.clone(), checks_fence);
+        let orders = self.targets.entry(target).or_insert(added);
         if orders.address != address {
-            // The host was replaced: nothing that was ordered of the old one holds for this one.
+            // The host was replaced, so orders to the old host do not apply to this one.
             orders.ordered = None;
             orders.load_since = None;
         }
@@ -80,24 +79,24 @@
             (Some(reported), Some((ordered, _))) => is_same_weights(reported, ordered),
             (Some(_) | None, Some(_) | None) => false,
         };
-        let is_given_up = orders
+        let is_timed_out = orders
             .load_since
             .is_some_and(|since| now.since(since) >= self.options.load_timeout_ms);
-        if is_loaded || is_given_up {
+        if is_loaded || is_timed_out {
             orders.load_since = None;
         }
         orders.reported = reported;
     }
 
-    /// Forgets all targets that are not among `listed`.
+    /// Removes all targets that are not in `listed`.
     pub fn retain_targets(&mut self, listed: &BTreeSet<TargetName>) {
         self.targets.retain(|target, _| listed.contains(target));
-        self.wanted.retain(|target, _| listed.contains(target));
-        // A reply to a call about an earlier listing must not be taken for one about the next.
+        self.desired.retain(|target, _| listed.contains(target));
+        // A reply to a call for an earlier listing must not be attributed to a later one.
         self.tickets.retain(|_, target| listed.contains(target));
     }
 
-    /// Takes in the outcome of an order.
+    /// Handles the outcome of an order.
     pub fn on_ordered(
         &mut self,
         now: ClockTime,
@@ -111,16 +110,17 @@
         if orders.step != OrderStep::Order {
             return;
         }
-        orders.step = OrderStep::Rest;
+        orders.step = OrderStep::Idle;
         match outcome {
-            // An order without an answer may have been taken: it gets the same time as one that was.
+            // An order without a reply may have been accepted, and gets the same time as one that
+            // was.
             OrderOutcome::Accepted | OrderOutcome::Unknown => {}
             OrderOutcome::Fenced => {
                 orders.load_since = None;
                 orders.ordered = None;
                 orders.wait_until = now.plus_ms(self.options.retry_ms);
-                // The engine has seen a higher number. If the platform still holds this one, the
-                // higher one was lost there, and taking the next numbers overtakes the engine's.
+                // The engine has seen a higher number. If the platform still stores this one, it
+                // has lost the higher one, and claiming further numbers will exceed the engine's.
                 orders.held = None;
                 orders.refused = orders.refused.max(Some(fence));
             }
@@ -128,12 +128,12 @@
                 orders.load_since = None;
                 orders.ordered = None;
                 orders.wait_until = now.plus_ms(retry_after_ms);
-                self.limiter.close(now, retry_after_ms);
+                self.limiter.block(now, retry_after_ms);
             }
         }
     }
 
-    /// Lets time pass.
+    /// Updates the plan when it is due and advances every target of this router.
     pub fn tick(
         &mut self,
         now: ClockTime,
@@ -141,24 +141,24 @@
         catalogue: &CatalogueView,
         outbox: &mut CoreOutbox,
     ) {
-        // A router that was frozen must not act on what it wanted before: it looks first who is
-        // picked now, and by which catalogue.
+        // A router that was frozen must not act on an old plan: routers and catalogue are evaluated
+        // first.
         if now >= self.next_check || self.revision != catalogue.revision() {
             self.next_check = now.plus_ms(self.options.check_period_ms);
             self.make_plan(members, catalogue);
         }
-        let wanted: Vec<TargetName> = self.wanted.keys().cloned().collect();
-        for target in wanted {
+        let desired: Vec<TargetName> = self.desired.keys().cloned().collect();
+        for target in desired {
             self.advance(now, &target, outbox);
         }
     }
 
-    /// Works out what this router has to get where.
+    /// Computes the desired states of the targets that this router orders.
     fn make_plan(&mut self, members: &MemberTable, catalogue: &CatalogueView) {
         self.revision = catalogue.revision();
         self.live = members.ranked("").into_iter().collect();
         self.routers = self.live.len();
-        self.wanted.clear();
+        self.desired.clear();
         for service in catalogue.services() {
             let targets: BTreeSet<TargetName> = self
                 .targets
@@ -171,36 +171,36 @@
                 .filter(|model| model.service == service.name)
                 .cloned()
                 .collect();
-            self.wanted.extend(plan_models(&models, &targets));
+            self.desired.extend(plan_models(&models, &targets));
         }
         let me = &self.me;
-        self.wanted
+        self.desired
             .retain(|target, _| members.picked_for(&format!("orders/{target}")) == *me);
         for (target, orders) in &mut self.targets {
-            if !self.wanted.contains_key(target) {
-                orders.stand_down();
+            if !self.desired.contains_key(target) {
+                orders.clear_orders();
             }
         }
     }
 
-    /// Takes the next step for a target, if its state is not the declared one and nothing is in
-    /// flight.
+    /// Takes the next step for a target whose state differs from the declared one and that has no
+    /// call in flight.
     fn advance(&mut self, now: ClockTime, target: &TargetName, outbox: &mut CoreOutbox) {
-        let (Some(wanted), Some(orders)) = (self.wanted.get(target), self.targets.get(target))
+        let (Some(desired), Some(orders)) = (self.desired.get(target), self.targets.get(target))
         else {
             return;
         };
-        let is_due = orders.step == OrderStep::Rest
+        let is_due = orders.step == OrderStep::Idle
             && now >= orders.wait_until
-            && !orders.is_under_way(now, wanted);
-        let is_off = match &orders.reported {
-            Some(reported) => !is_same_state(reported, wanted),
+            && !orders.is_in_progress(now, desired);
+        let differs = match &orders.reported {
+            Some(reported) => !is_same_state(reported, desired),
             None => false,
         };
-        if !is_due || !is_off || !self.may_load(now, target) {
+        if !is_due || !differs || !self.can_load(now, target) {
             return;
         }
-        // An engine that checks the number judges for itself whether it is still current.
+        // An engine that checks the number rejects an outdated one itself.
         let is_current = orders
             .held
             .as_ref()
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Orders the declared state with the fencing number that is held.
+    /// Orders the declared state with the held fencing number.
     pub(super) fn send_order(
         &mut self,
         now: ClockTime,
@@ -233,7 +233,8 @@
         outbox: &mut CoreOutbox,
     ) {
         let is_load = self.is_load(target);
-        let (Some(wanted), Some(orders)) = (self.wanted.get(target), self.targets.get_mut(target))
+        let (Some(desired), Some(orders)) =
+            (self.desired.get(target), self.targets.get_mut(target))
         else {
             return;
         };
@@ -241,7 +242,7 @@
             return;
         };
         orders.step = OrderStep::Order;
-        orders.ordered = Some((wanted.clone(), now.plus_ms(self.options.repeat_ms)));
+        orders.ordered = Some((desired.clone(), now.plus_ms(self.options.repeat_ms)));
         if is_load && orders.load_since.is_none() {
             orders.load_since = Some(now);
             self.limiter.count(now, &self.options, self.routers);
@@ -250,13 +251,13 @@
             target: target.clone(),
             address: orders.address.clone(),
             fence,
-            state: wanted.clone(),
+            state: desired.clone(),
         });
     }
 
-    /// Whether the weight store's limit lets the order for a target start. Loads are prepared one
-    /// at a time, so that a free place is not given to two targets that both wait for the platform.
-    fn may_load(&self, now: ClockTime, target: &TargetName) -> bool {
+    /// Whether the weight store's limit allows the order for a target. Loads are prepared one at a
+    /// time, so that two targets that wait for the platform don't use the same free slot.
+    fn can_load(&self, now: ClockTime, target: &TargetName) -> bool {
         let Some(orders) = self.targets.get(target) else {
             return false;
         };
@@ -268,13 +269,13 @@
             .targets
             .iter()
             .any(|(other, orders)| orders.is_preparing() && self.is_load(other));
-        let under_way = self
+        let running = self
             .targets
             .values()
             .filter(|orders| orders.load_since.is_some())
             .count();
         let limiter = &self.limiter;
-        !is_preparing && limiter.is_open(now, &self.options, under_way, self.routers)
+        !is_preparing && limiter.can_start(now, &self.options, running, self.routers)
     }
 
     fn is_load(&self, target: &TargetName) -> bool {
@@ -282,8 +283,8 @@
             .targets
             .get(target)
             .and_then(|orders| orders.reported.as_ref());
-        match (reported, self.wanted.get(target)) {
-            (Some(reported), Some(wanted)) => !is_same_weights(reported, wanted),
+        match (reported, self.desired.get(target)) {
+            (Some(reported), Some(desired)) => !is_same_weights(reported, desired),
             (Some(_) | None, Some(_) | None) => true,
         }
     }
@@ -303,7 +304,7 @@
         outbox.act(CoreAction::Platform { ticket, call });
     }
 
-    /// The fence to claim after `found`.
+    /// Returns the fence to claim after `found`.
     pub(super) fn next_fence(&self, found: Option<&OrderFence>) -> OrderFence {
         OrderFence {
             number: found.map_or(1, |fence| fence.number + 1),
@@ -313,7 +314,7 @@
     }
 }
 
-/// The key of the object that holds a target's fencing number.
+/// Returns the key of the object with a target's fencing number.
 pub(super) fn fence_key(target: &TargetName) -> ObjectKey {
     ObjectKey::new(format!("orders/{target}"))
 }
--- a/crates/beechsaddle-core/src/orders/target_orders.rs
+++ b/crates/beechsaddle-core/src/orders/target_orders.rs
@@ -1,4 +1,4 @@
-//! The `target_orders` module provides what one router has ordered of one engine.
+//! The `target_orders` module provides the state of one router's orders to one engine.
 
 use super::OrderFence;
 use crate::clock::ClockTime;
@@ -9,44 +9,39 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum OrderStep {
     /// Nothing.
-    Rest,
-    /// The fencing number is read.
-    Read {
-        /// When the read was started.
-        started: ClockTime,
-    },
-    /// A new fencing number is written.
+    Idle,
+    /// The fencing number is being read.
+    Read { started: ClockTime },
+    /// A new fencing number is being written.
     Claim {
-        /// When the write was started.
         started: ClockTime,
-        /// What is written.
         fence: OrderFence,
     },
-    /// An order is on its way.
+    /// An order is in flight.
     Order,
 }
 
-/// An engine, as it reports itself and as this router has ordered it.
+/// An engine's reported state and this router's orders to it.
 #[derive(Clone, Debug)]
 pub(super) struct TargetOrders {
     pub(super) address: String,
     pub(super) service: ServiceName,
     pub(super) checks_fence: bool,
-    /// What the engine says it serves; `None` when it did not answer.
+    /// The state that the engine reports; `None` when it did not answer.
     pub(super) reported: Option<EngineState>,
     pub(super) step: OrderStep,
-    /// The fence that this router took.
+    /// The fence that this router claimed.
     pub(super) held: Option<OrderFence>,
-    /// The highest number that the engine has refused as overtaken.
+    /// The highest number that the engine has rejected as outdated.
     pub(super) refused: Option<u64>,
-    /// What was ordered last, and when it may be ordered again.
+    /// The last ordered state, and when the order may be repeated.
     pub(super) ordered: Option<(EngineState, ClockTime)>,
-    /// Nothing is done before this time.
+    /// No action is taken before this time.
     pub(super) wait_until: ClockTime,
-    /// When the load that the last order started was started, until it is seen to end.
+    /// When the load of the last order started, until its end is observed.
     pub(super) load_since: Option<ClockTime>,
-    /// The fence of another live router, and since when it has stood.
-    pub(super) rival: Option<(OrderFence, ClockTime)>,
+    /// The fence of another live router, and when it was first read.
+    pub(super) competitor: Option<(OrderFence, ClockTime)>,
 }
 
 impl TargetOrders {
@@ -56,60 +51,60 @@
             service,
             checks_fence,
             reported: None,
-            step: OrderStep::Rest,
+            step: OrderStep::Idle,
             held: None,
             refused: None,
             ordered: None,
             wait_until: ClockTime::ZERO,
             load_since: None,
-            rival: None,
+            competitor: None,
         }
     }
 
-    /// Forgets what this router ordered, since another one orders now.
-    pub(super) fn stand_down(&mut self) {
+    /// Clears this router's orders, since another router is in charge.
+    pub(super) fn clear_orders(&mut self) {
         self.held = None;
         self.ordered = None;
         self.load_since = None;
-        self.rival = None;
+        self.competitor = None;
     }
 
-    /// Whether `wanted` was ordered so lately that the engine may still be about it.
-    pub(super) fn is_under_way(&self, now: ClockTime, wanted: &EngineState) -> bool {
+    /// Whether `desired` was ordered recently enough that the engine may still be working on it.
+    pub(super) fn is_in_progress(&self, now: ClockTime, desired: &EngineState) -> bool {
         self.ordered
             .as_ref()
-            .is_some_and(|(ordered, repeat_at)| ordered == wanted && now < *repeat_at)
+            .is_some_and(|(ordered, repeat_at)| ordered == desired && now < *repeat_at)
     }
 
-    /// Notes the fence of another live router. Tells whether it has stood for `yield_ms` without
-    /// getting the engine where it should be.
-    pub(super) fn outlasts_rival(
+    /// Records the fence of another live router. Returns whether it has been in place for
+    /// `takeover_ms` without the engine reaching the declared state.
+    pub(super) fn has_competitor_timed_out(
         &mut self,
         now: ClockTime,
         fence: &OrderFence,
-        yield_ms: u64,
+        takeover_ms: u64,
     ) -> bool {
-        match &self.rival {
-            Some((rival, since)) if rival == fence => now.since(*since) >= yield_ms,
+        match &self.competitor {
+            Some((competitor, since)) if competitor == fence => now.since(*since) >= takeover_ms,
             Some(_) | None => {
-                self.rival = Some((fence.clone(), now));
+                self.competitor = Some((fence.clone(), now));
                 false
             }
         }
     }
 
-    /// Whether `fence` was taken by this router and may still be ordered with. Every number is
-    /// written once only, so that one with this router's name is its own even if the answer to the
-    /// write was lost.
+    /// Whether `fence` was claimed by this router and may still be used. Every number is written
+    /// only once, so a fence with this router's name is its own even if the reply to the write was
+    /// lost.
     pub(super) fn is_own(&self, me: &RouterIncarnation, fence: &OrderFence) -> bool {
         fence.issuer == *me && self.refused.is_none_or(|refused| fence.number > refused)
     }
 
-    /// Whether the fencing number is being asked for.
+    /// Whether the fencing number is being read or claimed.
     pub(super) fn is_preparing(&self) -> bool {
         match self.step {
             OrderStep::Read { .. } | OrderStep::Claim { .. } => true,
-            OrderStep::Rest | OrderStep::Order => false,
+            OrderStep::Idle | OrderStep::Order => false,
         }
     }
 }
--- a/crates/beechsaddle-core/src/outbox.rs
+++ b/crates/beechsaddle-core/src/outbox.rs
@@ -1,21 +1,20 @@
-//! The `outbox` module provides where decisions put what has to happen next.
+//! The `outbox` module provides the collection of actions and signals that decisions produce.
 
 use std::collections::VecDeque;
 
 use crate::action::CoreAction;
 use crate::signal::CoreSignal;
 
-/// Actions for the edges and signals for other duties of the core, in order.
+/// Actions for the edges and signals for other parts of the core, in order.
 #[derive(Debug, Default)]
 pub struct CoreOutbox {
-    /// What the edges have to carry out.
+    /// Actions that the edges carry out.
     pub actions: Vec<CoreAction>,
-    /// What other duties of the core have to hear before the event is done.
+    /// Signals that other parts of the core handle before the event is finished.
     pub signals: VecDeque<CoreSignal>,
 }
 
 impl CoreOutbox {
-    /// An empty outbox.
     pub fn new() -> Self {
         CoreOutbox::default()
     }
@@ -25,7 +24,7 @@
         self.actions.push(action.into());
     }
 
-    /// Adds a signal for another duty.
+    /// Adds a signal for another part of the core.
     pub fn signal(&mut self, signal: CoreSignal) {
         self.signals.push_back(signal);
     }
--- a/crates/beechsaddle-core/src/peer.rs
+++ b/crates/beechsaddle-core/src/peer.rs
@@ -1,6 +1,7 @@
 //! The `peer` module provides the messages between routers.
 //!
-//! Messages are one-way, may be lost, delayed and doubled, and carry what is needed to answer them.
+//! Messages are one-way, may be lost, delayed or duplicated, and contain everything that a reply
+//! needs.
 
 use serde::{Deserialize, Serialize};
 
@@ -18,174 +19,153 @@
 pub enum PeerMessage {
     /// Sent every heartbeat period.
     Heartbeat(PeerHeartbeat),
-    /// Asks for changes of the catalogue.
+    /// Requests catalogue changes.
     CatalogueRequest {
-        /// The revision that the sender has; zero when it has none.
+        /// The sender's revision; zero when it has no catalogue.
         after: u64,
     },
-    /// Changes of the catalogue, in order and without gaps.
+    /// Catalogue changes, in order and without gaps.
     CatalogueUpdate {
-        /// When the receiver is too far behind: the whole catalogue that the changes follow.
+        /// The whole catalogue on which the changes are based, if the receiver is too far behind.
         base: Option<Box<CatalogueBase>>,
-        /// The changes.
         changes: Vec<CatalogueChange>,
     },
-    /// Asks for the list of hosts of the sender's domain; sent by a router that has none, because
-    /// it started while the platform was away.
+    /// Requests the host list of the sender's domain; sent by a router that started during an
+    /// outage of the platform and has no list.
     HostsRequest,
-    /// The list of hosts of the sender's domain as last read from the platform.
+    /// The host list of the sender's domain as last read from the platform.
     HostsUpdate {
-        /// The list's version at the platform; a higher one replaces a lower one.
+        /// The list's version on the platform; a higher one replaces a lower one.
         version: u64,
-        /// The list.
         hosts: HostList,
     },
-    /// Asks a budget's holder to reserve for a call and to be its witness.
+    /// Asks a budget's holder to reserve tokens for a call and to hold a copy of its usage.
     AdmitRequest(AdmitRequest),
-    /// Answers it.
+    /// The reply to an admit request.
     AdmitReply {
-        /// The call.
         call: CallId,
-        /// The journal that reserved, or why none did.
+        /// The journal with the reservation, or the refusal.
         outcome: Result<KeyText, CallRefusal>,
     },
     /// Usage of running calls so far, batched.
     ProgressReport {
-        /// Calls of the sender with the tokens used so far.
+        /// The sender's calls with the tokens used so far.
         calls: Vec<CallProgress>,
     },
-    /// Tells the holder the usage of a call that ended.
+    /// Sends the usage of a call that ended to the budget's holder.
     SettleRequest(SettleRequest),
-    /// The usage is noted: two routers know it now.
-    SettleReply {
-        /// The call.
-        call: CallId,
-    },
-    /// The settle's bill is durable: the sender of the settle may forget its copy. It sends the
-    /// same message back, after which the holder need not remember the calls either.
-    BillsDurable {
-        /// The calls.
-        calls: Vec<CallId>,
-    },
-    /// Answers an admit reply for a call that its entry router does not run under that
-    /// reservation: it gave up waiting, or it settled the call with another holder.
+    /// The usage was recorded and is now known to two routers.
+    SettleReply { call: CallId },
+    /// The bills are durable, so the sender of the settle requests may drop its copies. It returns
+    /// the same message, after which the holder may drop the calls too.
+    BillsDurable { calls: Vec<CallId> },
+    /// The reply to an admit reply for a call that its entry router does not run under that
+    /// reservation, because it timed out or was settled with another holder.
     CallUnknown {
-        /// The call.
         call: CallId,
-        /// The journal that reserved.
+        /// The journal with the reservation.
         journal: KeyText,
     },
-    /// Places a copy of what the sender holds for a call of its own with another router.
+    /// Sends a copy of the usage of the sender's own call to a backup router.
     WitnessNote(WitnessNote),
-    /// The copy of an ended call is kept, or was dropped after its bill became durable.
-    WitnessReply {
-        /// The call.
-        call: CallId,
-    },
-    /// Asks the router picked for a dedup shard to make a record durable.
+    /// The usage copy of an ended call is stored, or was dropped after its bill became durable.
+    WitnessReply { call: CallId },
+    /// Asks the committer of a dedup shard to make a record durable.
     RecordRequest(RecordRequest),
-    /// Answers it.
+    /// The reply to a record request.
     RecordReply {
-        /// The call.
         call: CallId,
-        /// Durable, or why not.
+        /// Success once the record is durable, or the refusal.
         outcome: Result<(), CallRefusal>,
     },
 }
 
-/// What a router says of itself.
+/// The state that a router sends to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
-    /// The domain it is in.
     pub domain: DomainName,
-    /// Where its peers reach it, as `address:port`.
+    /// The address for peers, as `address:port`.
     pub address: String,
-    /// Counts its heartbeats.
+    /// Counts the router's heartbeats.
     pub sequence: u64,
-    /// Whether it takes new work.
+    /// Whether the router takes new work.
     pub state: RouterState,
-    /// The catalogue revision in force there.
+    /// The catalogue revision in force at the router.
     pub catalogue_revision: u64,
-    /// The fleet's shard counts, if it knows them; a router that starts while the platform is away
-    /// learns them here.
+    /// The fleet's shard counts, if known; a router that starts during an outage of the platform
+    /// takes them from here.
     pub layout: Option<FleetLayout>,
-    /// What it knows of targets of its domain, newest observations only.
-    pub targets: Vec<TargetNews>,
-    /// What its callers use of shared limits.
+    /// The latest observations of targets of the router's domain.
+    pub targets: Vec<TargetUpdate>,
+    /// The demand of the router's callers on shared limits.
     pub limits: Vec<LimitUse>,
-    /// Live routers of its domain that the receiver may not know: new ones, and towards other
-    /// domains the bridges.
-    pub routers: Vec<RouterNews>,
+    /// Live routers of the sender's domain that the receiver may not know: new ones, and bridges
+    /// for other domains.
+    pub routers: Vec<RouterUpdate>,
 }
 
 /// Whether a router takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouterState {
-    /// It does.
+    /// The router takes new work.
     Live,
-    /// It is shutting down and holds nothing new.
+    /// The router is shutting down and takes no new work.
     Draining,
-    /// It has handed over everything and exits.
+    /// The router has handed over everything and exits.
     Left,
 }
 
 /// One router's observation of a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TargetNews {
-    /// The target.
+pub struct TargetUpdate {
     pub target: TargetName,
     /// The target's epoch in the host list; a replaced host has a higher one.
     pub epoch: u64,
-    /// What was seen.
+    /// The observed state.
     pub state: HostState,
     /// Counts observations of that target and epoch; a higher one replaces a lower one.
     pub sequence: u64,
-    /// The load that a prober saw, for routers that do not probe the target themselves.
+    /// The load seen by a probe, for routers that do not probe the target themselves.
     pub load: Option<LoadReport>,
-    /// What a prober saw the engine serve.
+    /// The engine state seen by a probe.
     pub engine: Option<EngineState>,
 }
 
-/// What one router's callers ask of an entry's shared limits, whether it was admitted or refused:
-/// shares follow demand, and a router that was short of its share could not ask for more otherwise.
+/// The demand of one router's callers on an entry's shared limits, both admitted and refused.
+/// Shares follow demand, and a router with too small a share could not raise it if only admitted
+/// calls counted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitUse {
-    /// The entry.
     pub entry: EntryId,
-    /// Calls running.
+    /// Running calls.
     pub running: u32,
-    /// Calls that the limit of calls at a time refused in the last second.
+    /// Calls that the concurrency limit refused in the last second.
     pub held_back: u32,
-    /// Calls asked for in the last second.
+    /// Calls requested in the last second.
     pub requests: u32,
-    /// Tokens asked for in the last minute.
+    /// Tokens requested in the last minute.
     pub tokens: u64,
 }
 
-/// What a bridge tells of a router of its domain.
+/// The state of a router as a bridge of its domain reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RouterNews {
-    /// The router.
+pub struct RouterUpdate {
     pub router: RouterIncarnation,
-    /// Its domain.
     pub domain: DomainName,
-    /// Where its peers reach it.
+    /// The address for peers.
     pub address: String,
-    /// The catalogue revision in force there.
+    /// The catalogue revision in force at the router.
     pub catalogue_revision: u64,
-    /// How long ago it was heard, in milliseconds.
+    /// The time since the router was last seen, in milliseconds.
     pub age_ms: u64,
 }
 
-/// Asks a budget's holder to reserve for a call.
+/// Asks a budget's holder to reserve tokens for a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdmitRequest {
-    /// The call.
     pub call: CallId,
-    /// Its idempotency key.
     pub key: RequestKey,
-    /// The budget.
     pub budget: BudgetName,
     /// The largest number of tokens that the call can use.
     pub bound: u64,
@@ -194,50 +174,45 @@
 /// The usage of a running call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallProgress {
-    /// The call.
     pub call: CallId,
-    /// Tokens so far.
+    /// The tokens used so far.
     pub tokens: u64,
 }
 
-/// Tells a budget's holder how a call ended.
+/// Reports the end of a call to a budget's holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleRequest {
-    /// The call.
     pub call: CallId,
-    /// Its idempotency key.
     pub key: RequestKey,
-    /// The budget.
     pub budget: BudgetName,
-    /// What was reserved.
+    /// The reserved tokens.
     pub bound: u64,
-    /// What is billed; zero with `ran == false` releases the reservation without a bill.
+    /// The tokens to bill; zero with `ran == false` releases the reservation without a bill.
     pub tokens: u64,
     /// Whether anything ran and a bill is due.
     pub ran: bool,
-    /// Whether the caller got its whole answer.
+    /// Whether the caller got its complete answer.
     pub complete: bool,
-    /// The journal that reserved, when the receiver is another router than the one that did:
-    /// the bill is then taken against what was written off of that journal.
+    /// The journal with the reservation, if another router than the receiver made it: the bill is
+    /// then deducted from the amount that was written off for that journal.
     pub against: Option<KeyText>,
 }
 
-/// A copy of a call that its entry router holds the budget for.
+/// A copy of a call's usage, sent to a backup router by an entry router that holds the budget
+/// itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WitnessNote {
-    /// The journal that reserved.
+    /// The journal with the reservation.
     pub journal: KeyText,
-    /// How the call stands.
+    /// The call's usage so far.
     pub settle: SettleRequest,
     /// Whether the call ended.
     pub ended: bool,
 }
 
-/// Asks for a durable dedup record.
+/// Requests a durable dedup record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordRequest {
-    /// The call.
     pub call: CallId,
-    /// Its idempotency key.
     pub key: RequestKey,
 }
--- a/crates/beechsaddle-core/src/platform.rs
+++ b/crates/beechsaddle-core/src/platform.rs
@@ -5,7 +5,7 @@
 use crate::names::ObjectKey;
 use crate::objects::PlatformObject;
 
-/// The part of the core that waits for a platform call.
+/// The part of the core that makes a platform call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum PlatformDuty {
     /// Budgets, grants and journals.
@@ -14,7 +14,7 @@
     Once,
     /// The catalogue.
     Catalogue,
-    /// The lists of hosts.
+    /// The host lists.
     Members,
     /// Orders to engines.
     Orders,
@@ -22,12 +22,12 @@
     Layout,
 }
 
-/// Names one platform call among those that a duty has in flight.
+/// Identifies one platform call among the calls in flight of one part of the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PlatformTicket {
-    /// Who waits.
+    /// The part of the core that made the call.
     pub duty: PlatformDuty,
-    /// Counts the calls of that duty.
+    /// Counts the calls of that part.
     pub number: u64,
 }
 
@@ -44,92 +44,80 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PlatformCall {
     /// Reads one object.
-    Read {
-        /// Which.
-        key: ObjectKey,
-    },
+    Read { key: ObjectKey },
     /// Writes one object conditionally.
     Write {
-        /// Which.
         key: ObjectKey,
         /// The whole new value.
         object: Box<PlatformObject>,
-        /// The condition.
         guard: WriteGuard,
     },
     /// Deletes one object at a version.
     Delete {
-        /// Which.
         key: ObjectKey,
         /// The version that is deleted.
         version: u64,
     },
-    /// Lists keys and versions under a prefix in key order, at most 1,000 a call.
+    /// Lists keys and versions under a prefix in key order, at most 1,000 per call.
     List {
-        /// The prefix of the keys.
         prefix: ObjectKey,
-        /// Keys after this one only.
+        /// Lists only keys after this one.
         after: Option<ObjectKey>,
     },
     /// Waits until something under a prefix is newer than a revision, or about 30 s have passed.
     Watch {
-        /// The prefix of the keys.
         prefix: ObjectKey,
-        /// The platform revision that the caller has seen.
+        /// The last platform revision that the caller has seen.
         after: u64,
     },
 }
 
-/// One object as read or listed.
+/// An object as read or listed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredObject {
-    /// Its key.
     pub key: ObjectKey,
-    /// Its version: the platform's revision at its last write.
+    /// The version: the platform's revision at the last write.
     pub version: u64,
-    /// Its value; `None` in a list, or in a watch when the object was deleted.
+    /// The value; `None` in a list, or in a watch when the object was deleted.
     pub object: Option<Box<PlatformObject>>,
 }
 
 /// The outcome of a platform call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PlatformReply {
-    /// The object as it is now.
+    /// The current object.
     Found(StoredObject),
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
     /// The write took effect and gave the object this version.
-    Written {
-        /// The new version.
-        version: u64,
-    },
+    Written { version: u64 },
     /// The delete took effect.
     Deleted,
     /// The condition did not hold; nothing was changed.
     Conflict,
-    /// What a list found.
+    /// The result of a list.
     Listed {
         /// Keys with versions; a full page of 1,000 means that there may be more.
         objects: Vec<StoredObject>,
         /// The platform's revision at the time of the list.
         revision: u64,
     },
-    /// What a watch saw; empty after its waiting time.
+    /// The result of a watch; empty after its maximum wait.
     Changed {
         /// Changed and deleted objects, oldest first.
         objects: Vec<StoredObject>,
-        /// The revision to watch after next.
+        /// The revision for the next watch.
         revision: u64,
     },
-    /// The platform asks to come back later; nothing was changed.
+    /// The platform asks for a later retry; nothing was changed.
     Throttled {
-        /// After how many milliseconds.
+        /// The delay before a retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// No connection: nothing was changed.
+    /// No connection was established; nothing was changed.
     Unreachable,
-    /// The answer was lost: a write may have taken effect, now or still later.
+    /// The reply was lost: a write may have taken effect, or may do so later.
     Unknown,
-    /// The stored value cannot be decoded, or the call is malformed; retrying does not help.
+    /// The stored value cannot be decoded, or the call is malformed; a retry does not help.
     Invalid,
 }
--- a/crates/beechsaddle-core/src/random.rs
+++ b/crates/beechsaddle-core/src/random.rs
@@ -4,19 +4,19 @@
 /// The increment of the SplitMix64 generator (Steele, Lea and Flood, 2014).
 const SPLIT_MIX_INCREMENT: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// A SplitMix64 generator: one word of state, good enough for spreading choices, not for secrets.
+/// A SplitMix64 generator with one word of state, suitable for distributing choices but not for
+/// secrets.
 #[derive(Clone, Debug)]
 pub struct SeededRandom {
     state: u64,
 }
 
 impl SeededRandom {
-    /// A generator; equal seeds give equal numbers.
+    /// Creates a generator; equal seeds give equal numbers.
     pub fn new(seed: u64) -> Self {
         SeededRandom { state: seed }
     }
 
-    /// The next number.
     pub fn next_u64(&mut self) -> u64 {
         self.state = self.state.wrapping_add(SPLIT_MIX_INCREMENT);
         let mut mixed = self.state;
@@ -25,7 +25,7 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// A number below `bound`; zero when `bound` is zero.
+    /// Returns a number below `bound`; zero when `bound` is zero.
     pub fn below(&mut self, bound: u64) -> u64 {
         if bound == 0 {
             return 0;
@@ -33,7 +33,7 @@
         self.next_u64() % bound
     }
 
-    /// A number from zero up to, but not including, one.
+    /// Returns a number from zero up to, but not including, one.
     pub fn unit(&mut self) -> f64 {
         // The 53 high bits fill the mantissa of a double exactly.
         (self.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
--- a/crates/beechsaddle-core/src/refusal.rs
+++ b/crates/beechsaddle-core/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The `refusal` module provides the final answers that a router gives instead of a target's.
+//! The `refusal` module provides the final answers that a router gives in place of a target's.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The request line, headers or body cannot be read.
+    /// The request line, headers or body cannot be parsed.
     BadRequest,
     /// The body is larger than the settings allow.
     BodyTooLarge,
@@ -24,33 +24,33 @@
     NotAllowed,
     /// The budget has no tokens left for this request.
     BudgetExhausted,
-    /// The budget's grant cannot be enlarged, because the platform is away.
+    /// The budget's grant cannot be enlarged because the platform is unreachable.
     BudgetUnreachable,
-    /// The holder of the budget does not answer and none other can hold it.
+    /// The holder of the budget does not answer and no other router can hold it.
     HolderUnreachable,
-    /// The entry's limit of requests at a time is reached.
+    /// The entry's limit of concurrent requests is reached.
     ConcurrencyLimit,
-    /// The entry's limit of requests a second is reached.
+    /// The entry's limit of requests per second is reached.
     RequestRateLimit,
-    /// The entry's limit of tokens a minute is reached.
+    /// The entry's limit of tokens per minute is reached.
     TokenRateLimit,
     /// The router sheds load of this class.
     Overloaded,
     /// No target of the service is alive.
     NoTarget,
-    /// Attempts failed and the retry budget or the targets ran out.
+    /// All attempts failed and the retry budget or the targets are exhausted.
     AttemptsFailed,
     /// The caller's deadline cannot be met.
     DeadlineExceeded,
-    /// The same key is running now.
+    /// A call with the same key is running.
     InProgress,
-    /// The same key was answered before and is not run again.
+    /// A call with the same key was answered before and is not run again.
     AlreadyAnswered,
-    /// The same not-repeatable key was dispatched before; its outcome is unknown here.
+    /// A call with the same not-repeatable key was dispatched before; its outcome is unknown here.
     AlreadyDispatched,
-    /// The dedup record cannot be made durable, because the platform is away.
+    /// The dedup record cannot be made durable because the platform is unreachable.
     RecordUnavailable,
-    /// A target may have run the call, but no complete answer came.
+    /// A target may have run the call, but no complete answer arrived.
     OutcomeUnknown,
     /// The router has no catalogue yet.
     NoCatalogue,
@@ -70,19 +70,17 @@
     Unknown,
 }
 
-/// A final answer to a caller whose request is given up on.
+/// The final answer to a refused call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRefusal {
-    /// Why.
     pub reason: RefusalReason,
-    /// Whether it ran.
     pub ran: RanState,
-    /// After how many milliseconds coming back helps; `None` when it does not help.
+    /// The delay after which a retry may succeed, in milliseconds; `None` when it cannot.
     pub retry_after_ms: Option<u64>,
 }
 
 impl CallRefusal {
-    /// A refusal of a request that did not run.
+    /// Returns a refusal of a request that did not run.
     pub fn not_run(reason: RefusalReason, retry_after_ms: Option<u64>) -> Self {
         CallRefusal {
             reason,
@@ -91,7 +89,7 @@
         }
     }
 
-    /// A refusal of a request that may have run.
+    /// Returns a refusal of a request that may have run.
     pub fn unknown(reason: RefusalReason, retry_after_ms: Option<u64>) -> Self {
         CallRefusal {
             reason,
@@ -131,7 +129,7 @@
         RefusalReason::RingFull,
     ];
 
-    /// The reason as it stands in answers, logs and counters.
+    /// Returns the name of the reason in answers, logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
             RefusalReason::BadRequest => "bad_request",
@@ -162,7 +160,7 @@
         }
     }
 
-    /// The HTTP status that carries the reason.
+    /// Returns the HTTP status for the reason.
     pub fn status_code(self) -> u16 {
         match self {
             RefusalReason::BadRequest => 400,
--- a/crates/beechsaddle-core/src/report.rs
+++ b/crates/beechsaddle-core/src/report.rs
@@ -1,25 +1,25 @@
-//! The `report` module provides log lines and counts.
+//! The `report` module provides log lines and metrics.
 
 use serde::Serialize;
 
 use crate::call::AttemptFailure;
 use crate::refusal::RefusalReason;
 
-/// How much a log line matters.
+/// The severity of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum LogLevel {
-    /// For finding faults in the code.
+    /// For debugging.
     Debug,
-    /// What an operator wants to read afterwards.
+    /// Informs operators afterwards.
     Info,
-    /// What an operator should look at in working hours.
+    /// Requires attention in working hours.
     Warning,
-    /// What an operator should look at now.
+    /// Requires attention now.
     Error,
 }
 
-// The list of all counters and their names are made from the one list of variants, so that a counter
-// that is added cannot be missing from the documentation's test or have a name of its own.
+// The list of counters and their names are generated from one list of variants, so that the test of
+// the documentation covers every counter and no name deviates from its variant.
 macro_rules! counter_names {
     ($($(#[$meta:meta])* $variant:ident $(($detail:ident))?,)*) => {
         /// A counter. `docs/METRICS.md` lists each.
@@ -29,12 +29,13 @@
         }
 
         impl CounterName {
-            /// Every counter, each reason by itself, in the order of the documentation.
+            /// Returns every counter, with each reason separately, in the order of the
+            /// documentation.
             pub fn all() -> Vec<CounterName> {
                 [$(counter_names!(@list $variant $(, $detail)?)),*].concat()
             }
 
-            /// The counter as it stands in metrics, below the prefix of the settings.
+            /// Returns the name of the counter in metrics, without the prefix from the settings.
             pub fn metric(self) -> String {
                 match self {
                     $(counter_names!(@pattern reason, $variant $(, $detail)?) => {
@@ -68,43 +69,43 @@
 counter_names! {
     /// Calls that arrived.
     CallsArrived,
-    /// Calls answered in full.
+    /// Calls with a complete answer.
     CallsAnswered,
-    /// Calls whose answer broke off.
+    /// Calls whose answer ended early.
     CallsTruncated,
-    /// Calls whose caller hung up.
+    /// Calls whose caller disconnected.
     CallersGone,
     /// Refusals, by reason.
     Refused(RefusalReason),
     /// Attempts that failed, by reason.
     AttemptFailed(AttemptFailure),
-    /// Further attempts, by the reason of the attempt before.
+    /// Retries, by the reason of the previous attempt.
     Retried(AttemptFailure),
-    /// Attempts not retried because the retry budget was used up.
+    /// Attempts not retried because the retry budget was exhausted.
     RetryBudgetEmpty,
-    /// Calls that went to another domain's targets.
+    /// Calls dispatched to targets of another domain.
     CrossDomain,
     /// Usage above the reserved bound, billed at the bound.
     UsageOverBound,
     /// Grants taken.
     GrantsTaken,
-    /// Grants given back.
+    /// Grants returned.
     GrantsReturned,
-    /// Journals of other routers closed by this one.
+    /// Journals of other routers that this one closed.
     JournalsFenced,
-    /// Own journals found closed by another router.
+    /// Own journals that another router closed.
     OwnJournalFenced,
-    /// Orphaned requests billed provisionally.
+    /// Orphaned requests with a provisional bill.
     OrphansBilled,
-    /// Bills dropped because their key was billed before.
+    /// Bills dropped because their key already had one.
     DuplicateBills,
     /// Targets ejected as outliers.
     TargetsEjected,
     /// Messages to peers that could not be sent.
     PeerSendFailed,
-    /// Connections of peers that were refused, most of them for a wrong secret.
+    /// Refused connections of peers, most of them for a wrong secret.
     PeersRefused,
-    /// Messages of peers that could not be read.
+    /// Messages of peers that could not be decoded.
     PeerMessagesInvalid,
     /// Platform calls without a known outcome.
     PlatformUnknown,
@@ -123,18 +124,18 @@
     name
 }
 
-/// A level that is measured now and then. `docs/METRICS.md` lists each.
+/// A periodically reported gauge. `docs/METRICS.md` lists each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum GaugeName {
-    /// Calls that are running.
+    /// Running calls.
     OpenCalls,
     /// Bills that are not yet durable.
     UnjournalledBills,
     /// Grants that this router holds.
     GrantsHeld,
-    /// Routers of the own domain that are alive.
+    /// Live routers of the own domain.
     PeersLive,
-    /// Targets of the own domain that get new work.
+    /// Targets of the own domain that receive new work.
     TargetsLive,
     /// The catalogue revision in force.
     CatalogueRevision,
@@ -151,7 +152,7 @@
         GaugeName::CatalogueRevision,
     ];
 
-    /// The gauge as it stands in metrics, below the prefix of the settings.
+    /// Returns the name of the gauge in metrics, without the prefix from the settings.
     pub fn metric(self) -> &'static str {
         match self {
             GaugeName::OpenCalls => "open_calls",
@@ -164,36 +165,25 @@
     }
 }
 
-/// One key=value line.
+/// A log line of `key=value` fields.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LogLine {
-    /// How much it matters.
     pub level: LogLevel,
-    /// What happened, in snake case.
+    /// The name of the event, in snake case.
     pub event: &'static str,
-    /// Its fields, in order.
+    /// The fields, in order.
     pub fields: Vec<(&'static str, String)>,
 }
 
-/// Something for the edge that logs and counts.
+/// An action for the edge that logs and reports metrics.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub enum ReportAction {
-    /// Log a line.
+    /// Logs a line.
     Log(LogLine),
-    /// Count by one.
+    /// Increments a counter.
     Count(CounterName),
-    /// Count by an amount.
-    Add {
-        /// The counter.
-        counter: CounterName,
-        /// The amount.
-        amount: u64,
-    },
+    /// Adds to a counter.
+    Add { counter: CounterName, amount: u64 },
     /// Sets a gauge.
-    Gauge {
-        /// The gauge.
-        gauge: GaugeName,
-        /// Its level.
-        level: u64,
-    },
+    Gauge { gauge: GaugeName, level: u64 },
 }
--- a/crates/beechsaddle-core/src/router/core_drain.rs
+++ b/crates/beechsaddle-core/src/router/core_drain.rs
@@ -23,7 +23,7 @@
         }
         if self.phase == DrainPhase::HandingOver
             && self.accounting.is_drained()
-            && self.once.is_idle()
+            && self.dedup.is_idle()
         {
             self.phase = DrainPhase::Left;
             self.members.leave(now, outbox);
--- a/crates/beechsaddle-core/src/router/core_inputs.rs
+++ b/crates/beechsaddle-core/src/router/core_inputs.rs
@@ -1,4 +1,4 @@
-//! The `core_inputs` module provides the ways of events and signals to the duties.
+//! The `core_inputs` module provides the routing of events and signals to the managers.
 
 use super::RouterCore;
 use crate::peer::{PeerHeartbeat, PeerMessage};
@@ -6,8 +6,9 @@
 use crate::prelude::*;
 use crate::target::TargetEvent;
 
-/// How often orders hear of the engines' states, in milliseconds; a load takes far longer.
-const ORDERS_FEED_MS: u64 = 500;
+/// How often engine states are passed to the order manager, in milliseconds; a load takes far
+/// longer.
+const ORDERS_UPDATE_MS: u64 = 500;
 
 impl RouterCore {
     pub(super) fn on_platform(
@@ -22,7 +23,7 @@
             PlatformDuty::Money => self
                 .accounting
                 .on_platform(now, ticket, reply, members, outbox),
-            PlatformDuty::Once => self.once.on_platform(now, ticket, reply, outbox),
+            PlatformDuty::Once => self.dedup.on_platform(now, ticket, reply, outbox),
             PlatformDuty::Catalogue => {
                 self.catalogue
                     .on_platform(now, ticket, reply, members, outbox);
@@ -35,13 +36,13 @@
 
     pub(super) fn on_layout(&mut self, now: ClockTime, reply: &PlatformReply) {
         self.layout.on_platform(now, reply);
-        self.use_layout();
+        self.apply_layout();
     }
 
-    pub(super) fn use_layout(&mut self) {
+    pub(super) fn apply_layout(&mut self) {
         if let Some(layout) = self.layout.known() {
             self.accounting.set_layout(layout);
-            self.once.set_layout(layout);
+            self.dedup.set_layout(layout);
         }
     }
 
@@ -63,7 +64,8 @@
                 self.catalogue
                     .on_peer(now, &from, message, self.members.table(), outbox);
             }
-            // A request that cannot be placed yet is left unanswered: its sender goes elsewhere.
+            // A request that cannot be assigned to a shard yet is not answered: its sender tries
+            // another router.
             PeerMessage::AdmitRequest(_) | PeerMessage::RecordRequest(_) if !is_ready => {}
             PeerMessage::AdmitRequest(_)
             | PeerMessage::AdmitReply { .. }
@@ -78,7 +80,7 @@
                     .on_peer(now, &from, message, self.members.table(), outbox);
             }
             PeerMessage::RecordRequest(_) | PeerMessage::RecordReply { .. } => {
-                self.once
+                self.dedup
                     .on_peer(now, from, message, self.members.table(), outbox);
             }
         }
@@ -97,8 +99,8 @@
         }
         self.members.on_peer(now, from, &heartbeat, outbox);
         if let Some(layout) = heartbeat.layout.filter(|_| self.layout.known().is_none()) {
-            self.layout.learn(layout);
-            self.use_layout();
+            self.layout.set_known(layout);
+            self.apply_layout();
         }
         let revision = heartbeat.catalogue_revision;
         self.catalogue
@@ -147,24 +149,24 @@
         }
     }
 
-    /// Tells the orders what is known of engines, by own probes and by those of peers.
-    pub(super) fn feed_orders(&mut self, now: ClockTime) {
-        if now.since(self.orders_fed) < ORDERS_FEED_MS {
+    /// Passes engine states from own and peers' probes to the order manager.
+    pub(super) fn update_orders(&mut self, now: ClockTime) {
+        if now.since(self.orders_updated_at) < ORDERS_UPDATE_MS {
             return;
         }
-        self.orders_fed = now;
+        self.orders_updated_at = now;
         let engines: Vec<_> = self.targets.engines().collect();
-        let listed = engines.iter().map(|news| news.target.clone()).collect();
+        let listed = engines.iter().map(|engine| engine.target.clone()).collect();
         self.orders.retain_targets(&listed);
-        for news in engines {
-            let checks_fence = self.members.hosts().checks_fence(&news.target);
+        for engine in engines {
+            let checks_fence = self.members.hosts().checks_fence(&engine.target);
             self.orders.on_target_state(
                 now,
-                news.target,
-                news.address,
-                news.service,
+                engine.target,
+                engine.address,
+                engine.service,
                 checks_fence,
-                Some(news.state),
+                Some(engine.state),
             );
         }
     }
--- a/crates/beechsaddle-core/src/router/core_reports.rs
+++ b/crates/beechsaddle-core/src/router/core_reports.rs
@@ -1,4 +1,4 @@
-//! The `core_reports` module provides what a router tells of itself.
+//! The `core_reports` module provides the gauges and the status of a router.
 
 use super::RouterCore;
 use super::router_core::DrainPhase;
@@ -8,15 +8,15 @@
 use crate::report::{GaugeName, ReportAction};
 use crate::status::RouterStatus;
 
-/// How often gauges are told, in milliseconds.
-const GAUGES_MS: u64 = 1_000;
+/// How often gauges are reported, in milliseconds.
+const GAUGE_PERIOD_MS: u64 = 1_000;
 
 impl RouterCore {
     pub(super) fn report_gauges(&mut self, now: ClockTime, outbox: &mut CoreOutbox) {
-        if now.since(self.gauges_told) < GAUGES_MS {
+        if now.since(self.gauges_reported_at) < GAUGE_PERIOD_MS {
             return;
         }
-        self.gauges_told = now;
+        self.gauges_reported_at = now;
         let members = self.members.table();
         let peers = members.iter().filter(|(_, entry)| {
             entry.domain == *members.domain() && entry.liveness == MemberLiveness::Live
--- a/crates/beechsaddle-core/src/router/layout_desk.rs
+++ b/crates/beechsaddle-core/src/router/layout_manager.rs
@@ -1,24 +1,25 @@
-//! The `layout_desk` module provides the fleet's shard counts.
+//! The `layout_manager` module provides the fleet's shard counts.
 
 use crate::objects::{FleetLayout, PlatformObject};
 use crate::platform::{PlatformCall, PlatformDuty, PlatformReply, PlatformTicket, WriteGuard};
 use crate::prelude::*;
 
-/// Where the layout is kept.
+/// The key of the layout object.
 const LAYOUT_KEY: &str = "fleet/layout";
 
-/// How long to wait before the platform is asked again, in milliseconds.
+/// The delay between two platform calls, in milliseconds.
 const RETRY_MS: u64 = 500;
 
-/// Learns the fleet's layout from the platform or from peers, or creates it for a new fleet.
+/// Reads the fleet's layout from the platform or receives it from peers, or creates it for a new
+/// fleet.
 ///
-/// A router that placed budgets by its own settings while others use other counts would find its
-/// budgets in other ledgers, each with the full top-ups, and spend them twice. So nothing is placed
-/// before the one layout at the platform is known; it is created once and never changed, so that
-/// reading it once is enough.
+/// If a router assigned budgets to shards by its own settings while others use other counts, it
+/// would find its budgets in other ledgers, each with the full top-ups, and spend them twice.
+/// Nothing is assigned before the stored layout is known. The layout is created once and never
+/// changed, so that one read is enough.
 #[derive(Debug)]
-pub(super) struct LayoutDesk {
-    wanted: FleetLayout,
+pub(super) struct LayoutManager {
+    proposed: FleetLayout,
     known: Option<FleetLayout>,
     in_flight: bool,
     absent: bool,
@@ -26,11 +27,11 @@
     tickets: u64,
 }
 
-impl LayoutDesk {
-    /// A desk that proposes `wanted` when the fleet is new.
-    pub fn new(wanted: FleetLayout) -> Self {
-        LayoutDesk {
-            wanted,
+impl LayoutManager {
+    /// Creates a manager that proposes `proposed` when the fleet is new.
+    pub fn new(proposed: FleetLayout) -> Self {
+        LayoutManager {
+            proposed,
             known: None,
             in_flight: false,
             absent: false,
@@ -44,12 +45,12 @@
         self.known.as_ref()
     }
 
-    /// Takes the layout from a peer, which has it from the platform.
-    pub fn learn(&mut self, layout: FleetLayout) {
+    /// Takes the layout from a peer that has it from the platform.
+    pub fn set_known(&mut self, layout: FleetLayout) {
         self.known = Some(layout);
     }
 
-    /// Asks the platform when it is time to.
+    /// Reads or creates the layout when a call is due.
     pub fn tick(&mut self, now: ClockTime, outbox: &mut CoreOutbox) {
         if self.known.is_some() || self.in_flight || now < self.next {
             return;
@@ -58,7 +59,7 @@
         let call = match self.absent {
             true => PlatformCall::Write {
                 key,
-                object: Box::new(PlatformObject::Layout(self.wanted)),
+                object: Box::new(PlatformObject::Layout(self.proposed)),
                 guard: WriteGuard::Absent,
             },
             false => PlatformCall::Read { key },
@@ -72,8 +73,8 @@
         outbox.act(CoreAction::Platform { ticket, call });
     }
 
-    /// Takes the platform's answer. Only a read tells the layout: whatever became of a write, the
-    /// object that is found afterwards is the one that all others find.
+    /// Handles the platform's reply. Only a read supplies the layout: whatever happened to a write,
+    /// the object found afterwards is the one that all routers find.
     pub fn on_platform(&mut self, now: ClockTime, reply: &PlatformReply) {
         self.in_flight = false;
         self.next = now;
--- a/crates/beechsaddle-core/src/router/mod.rs
+++ b/crates/beechsaddle-core/src/router/mod.rs
@@ -1,9 +1,9 @@
-//! The `router` module provides the whole core of one router, composed of its duties.
+//! The `router` module provides the core of one router, composed of its managers.
 
 mod core_drain;
 mod core_inputs;
 mod core_reports;
-mod layout_desk;
+mod layout_manager;
 mod router_core;
 mod router_options;
 
--- a/crates/beechsaddle-core/src/router/router_core.rs
+++ b/crates/beechsaddle-core/src/router/router_core.rs
@@ -1,33 +1,33 @@
 //! The `router_core` module provides the function from events to actions.
 
 use super::RouterOptions;
-use super::layout_desk::LayoutDesk;
+use super::layout_manager::LayoutManager;
 use crate::accounting::AccountingManager;
 use crate::admission::{AdmissionGate, RetryPolicy};
 use crate::call::{CallAction, CallEvent};
-use crate::calls::{CallContext, CallDesk};
-use crate::catalogue::CatalogueDesk;
+use crate::calls::{CallContext, CallManager};
+use crate::catalogue::CatalogueManager;
+use crate::dedup::DedupManager;
 use crate::members::{HeartbeatUpdate, MemberManager};
-use crate::once::OnceDesk;
-use crate::orders::OrderDesk;
+use crate::orders::OrderManager;
 use crate::prelude::*;
 use crate::report::{CounterName, ReportAction};
 use crate::status::GrantStatus;
 use crate::targets::TargetTable;
 
-/// When a caller that found the router starting should come back, in milliseconds.
+/// The `Retry-After` of calls that arrive before the layout is known, in milliseconds.
 const UNREADY_RETRY_MS: u64 = 1_000;
 
-/// How far a graceful shutdown has come.
+/// The phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DrainPhase {
     /// The router takes calls.
     Serving,
-    /// Open calls go on to their end; new ones are refused.
+    /// Open calls continue to their end; new ones are refused.
     EndingCalls,
-    /// Bills are journalled and grants returned.
+    /// Bills are being journalled and grants returned.
     HandingOver,
-    /// All is handed over.
+    /// Everything is handed over.
     Left,
 }
 
@@ -36,50 +36,50 @@
 pub struct RouterCore {
     pub(super) me: RouterIncarnation,
     pub(super) phase: DrainPhase,
-    pub(super) layout: LayoutDesk,
-    pub(super) calls: CallDesk,
+    pub(super) layout: LayoutManager,
+    pub(super) calls: CallManager,
     pub(super) accounting: AccountingManager,
-    pub(super) once: OnceDesk,
+    pub(super) dedup: DedupManager,
     pub(super) members: MemberManager,
-    pub(super) catalogue: CatalogueDesk,
+    pub(super) catalogue: CatalogueManager,
     pub(super) targets: TargetTable,
     pub(super) gate: AdmissionGate,
     pub(super) retries: RetryPolicy,
-    pub(super) orders: OrderDesk,
-    pub(super) orders_fed: ClockTime,
-    pub(super) gauges_told: ClockTime,
+    pub(super) orders: OrderManager,
+    pub(super) orders_updated_at: ClockTime,
+    pub(super) gauges_reported_at: ClockTime,
 }
 
 impl RouterCore {
-    /// A router that has not started.
+    /// Creates a router that has not started.
     pub fn new(options: RouterOptions) -> Self {
         let me = options.me;
         let domain = options.domain;
         RouterCore {
             phase: DrainPhase::Serving,
-            layout: LayoutDesk::new(options.layout),
-            calls: CallDesk::new(options.calls),
+            layout: LayoutManager::new(options.layout),
+            calls: CallManager::new(options.calls),
             accounting: AccountingManager::new(options.accounting, me.clone()),
-            once: OnceDesk::new(options.once, me.clone()),
+            dedup: DedupManager::new(options.dedup, me.clone()),
             members: MemberManager::new(
                 options.members,
                 me.clone(),
                 domain.clone(),
                 options.peer_address,
             ),
-            catalogue: CatalogueDesk::new(options.catalogue, me.clone()),
+            catalogue: CatalogueManager::new(options.catalogue, me.clone()),
             targets: TargetTable::new(options.targets, me.clone(), domain, options.seed),
             gate: AdmissionGate::new(options.admission, options.seed),
             retries: RetryPolicy::new(options.retries, options.seed),
-            orders: OrderDesk::new(options.orders, me.clone()),
-            orders_fed: ClockTime::ZERO,
-            gauges_told: ClockTime::ZERO,
+            orders: OrderManager::new(options.orders, me.clone()),
+            orders_updated_at: ClockTime::ZERO,
+            gauges_reported_at: ClockTime::ZERO,
             me,
         }
     }
 
-    /// Takes one event and says what has to happen next. The same events always give the same
-    /// actions; `now` must not go backwards.
+    /// Handles one event and adds the resulting actions to `outbox`. The same events always give
+    /// the same actions; `now` must not go backwards.
     pub fn handle(&mut self, now: ClockTime, event: CoreEvent, outbox: &mut CoreOutbox) {
         match event {
             CoreEvent::Started => self.start(now, outbox),
@@ -100,9 +100,9 @@
             }
             CoreEvent::Drain => self.drain(now, outbox),
         }
-        self.settle_signals(now, outbox);
+        self.dispatch_signals(now, outbox);
         self.advance_drain(now, outbox);
-        self.settle_signals(now, outbox);
+        self.dispatch_signals(now, outbox);
     }
 
     /// How many calls are open.
@@ -115,12 +115,12 @@
         self.catalogue.view().revision()
     }
 
-    /// The grants that it holds.
+    /// The grants that the router holds.
     pub fn grants(&self) -> Vec<GrantStatus> {
         self.accounting.grants()
     }
 
-    /// Whether the router can take calls: it has a catalogue and does not drain.
+    /// Whether the router can take calls: it has a layout and a catalogue and does not drain.
     pub fn is_serving(&self) -> bool {
         let is_ready = self.layout.known().is_some() && self.catalogue.view().revision() > 0;
         is_ready && self.phase == DrainPhase::Serving
@@ -129,12 +129,12 @@
     pub(super) fn split<'a>(
         &'a mut self,
         outbox: &'a mut CoreOutbox,
-    ) -> (&'a mut CallDesk, CallContext<'a>) {
+    ) -> (&'a mut CallManager, CallContext<'a>) {
         let context = CallContext {
             view: self.catalogue.view(),
             members: self.members.table(),
             accounting: &mut self.accounting,
-            once: &mut self.once,
+            dedup: &mut self.dedup,
             targets: &mut self.targets,
             gate: &mut self.gate,
             retries: &mut self.retries,
@@ -153,34 +153,34 @@
         let members = self.members.table();
         self.catalogue.tick(now, members, outbox);
         self.accounting.tick(now, members, outbox);
-        self.once.tick(now, members, outbox);
+        self.dedup.tick(now, members, outbox);
         self.targets.tick(now, members, outbox);
         self.gate.tick(now, members);
-        self.feed_orders(now);
+        self.update_orders(now);
         let members = self.members.table();
         self.orders
             .tick(now, members, self.catalogue.view(), outbox);
         if self.members.is_heartbeat_due(now) || self.targets.has_urgent_update() {
-            let news = HeartbeatUpdate {
+            let update = HeartbeatUpdate {
                 catalogue_revision: self.catalogue.view().revision(),
                 layout: self.layout.known().copied(),
                 targets: self.targets.take_updates(now),
                 limits: self.gate.take_limits(now),
             };
-            self.members.send_heartbeat(now, news, outbox);
+            self.members.send_heartbeat(now, update, outbox);
         }
         self.members.tick(now, outbox);
         self.report_gauges(now, outbox);
     }
 
-    fn settle_signals(&mut self, now: ClockTime, outbox: &mut CoreOutbox) {
+    fn dispatch_signals(&mut self, now: ClockTime, outbox: &mut CoreOutbox) {
         while let Some(signal) = outbox.signals.pop_front() {
             self.on_signal(now, &signal, outbox);
         }
     }
 }
 
-/// Until the layout is known nothing can be reserved.
+/// Nothing can be reserved until the layout is known.
 fn refuse_unready(call: &CallId, outbox: &mut CoreOutbox) {
     let refusal = CallRefusal::not_run(RefusalReason::NoCatalogue, Some(UNREADY_RETRY_MS));
     let counter = CounterName::Refused(refusal.reason);
