--- a/crates/beechsaddle-core/src/status.rs
+++ b/crates/beechsaddle-core/src/status.rs
@@ -1,4 +1,4 @@
-//! The `status` module provides what a router tells operators of itself.
+//! The `status` module provides the status of a router for operators.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,70 +6,63 @@
 use crate::names::{BudgetName, DomainName, RouterIncarnation, TargetName};
 use crate::peer::RouterState;
 
-/// What a router tells of itself.
+/// The status of a router.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouterStatus {
-    /// The router.
     pub router: RouterIncarnation,
-    /// Its domain.
     pub domain: DomainName,
-    /// Whether it takes new work.
+    /// Whether the router takes new work.
     pub state: RouterState,
     /// The catalogue revision in force.
     pub catalogue_revision: u64,
-    /// Calls that are running.
+    /// Running calls.
     pub open_calls: u64,
     /// Bills that are not yet durable.
     pub unjournalled_bills: u64,
-    /// Routers that it knows.
+    /// The known routers.
     pub peers: Vec<PeerStatus>,
-    /// Grants that it holds.
+    /// The grants that the router holds.
     pub grants: Vec<GrantStatus>,
-    /// Targets that it knows.
+    /// The known targets.
     pub targets: Vec<TargetStatus>,
 }
 
-/// A router as seen by another.
+/// The state of a router as another router sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// The router.
     pub router: RouterIncarnation,
-    /// Its domain.
     pub domain: DomainName,
     /// `live`, `draining`, `down` or `gone`.
     pub state: String,
-    /// The catalogue revision in force there.
+    /// The catalogue revision in force at the router.
     pub catalogue_revision: u64,
-    /// How long ago it was heard, in milliseconds.
+    /// The time since the router was last seen, in milliseconds.
     pub age_ms: u64,
 }
 
 /// A grant that a router holds, in tokens.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GrantStatus {
-    /// The budget.
     pub budget: BudgetName,
-    /// What was granted in all.
+    /// The total granted.
     pub granted: u64,
-    /// How far spending may go until the next journal write.
+    /// The high-water mark: spending may reach it before the next journal write.
     pub mark: u64,
-    /// What was billed.
+    /// The billed tokens.
     pub spent: u64,
-    /// What is reserved for running calls.
+    /// The tokens reserved for running calls.
     pub reserved: u64,
 }
 
-/// A target as seen by a router.
+/// The state of a target as one router sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetStatus {
-    /// The target.
     pub target: TargetName,
-    /// Its service.
     pub service: String,
-    /// Whether it gets new work.
+    /// Whether the target gets new work.
     pub state: HostState,
-    /// Whether it is ejected as an outlier.
+    /// Whether the target is ejected as an outlier.
     pub ejected: bool,
-    /// Calls of this router that run there.
+    /// Calls of this router that run on the target.
     pub in_flight: u32,
 }
--- a/crates/beechsaddle-core/src/target.rs
+++ b/crates/beechsaddle-core/src/target.rs
@@ -4,31 +4,28 @@
 
 use crate::names::{ModelName, TargetName};
 
-/// What an engine says of its load, some time after the fact.
+/// The load that an engine reports; it lags behind the actual load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests in its batch.
+    /// Requests in the engine's batch.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u32,
-    /// Share of its KV cache in use, in thousandths.
+    /// The used share of the KV cache, in thousandths.
     pub cache_permille: u32,
 }
 
-/// What a model engine is set to serve.
+/// The configuration of a model engine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EngineState {
-    /// The model.
     pub model: ModelName,
-    /// Its version.
+    /// The model's version.
     pub version: u64,
-    /// Loaded adapters.
     pub adapters: Vec<String>,
-    /// Its role.
     pub role: EngineRole,
 }
 
-/// The part that an engine takes in serving.
+/// The phases of inference that an engine serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
@@ -43,92 +40,85 @@
 /// The outcome of a probe.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProbeOutcome {
-    /// It serves.
+    /// The target serves.
     Healthy {
-        /// Its load; zeros for a plain service.
+        /// The load; zeros for a plain service.
         load: LoadReport,
-        /// What it is set to serve; `None` for a plain service.
+        /// The engine's configuration; `None` for a plain service.
         engine: Option<EngineState>,
     },
-    /// It says that it is leaving.
+    /// The target reports that it is leaving.
     Leaving,
-    /// It did not answer, or not in time.
+    /// The target did not answer in time.
     Failed,
 }
 
 /// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
-    /// Taken; the engine's state says when it is done.
+    /// Accepted; the reported engine state shows when the order is complete.
     Accepted,
-    /// Refused because a newer fencing number was seen.
+    /// Rejected because the engine has seen a higher fencing number.
     Fenced,
-    /// Refused because the weight store is busy.
+    /// Rejected because the weight store is overloaded.
     Throttled {
-        /// After how many milliseconds to come back.
+        /// The delay before a retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// No answer: it may have been taken.
+    /// No reply: the order may have been accepted.
     Unknown,
 }
 
-/// Something that the edge towards targets tells the core.
+/// An event from the edge towards targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub enum TargetEvent {
     /// A probe ended.
     Probed {
-        /// The target.
         target: TargetName,
-        /// How.
         outcome: ProbeOutcome,
         /// Cache events since the last probe.
-        cache: Option<CacheNews>,
+        cache: Option<CacheUpdate>,
     },
     /// An order ended.
     Ordered {
-        /// The target.
         target: TargetName,
-        /// The fencing number it carried.
+        /// The fencing number of the order.
         fence: u64,
-        /// How.
         outcome: OrderOutcome,
     },
 }
 
-/// Cache events of an engine: late, and with gaps.
+/// Cache events of an engine; they may be late and have gaps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CacheNews {
-    /// The number of the first event in here.
+pub struct CacheUpdate {
+    /// The number of the first event.
     pub first: u64,
-    /// The number after the last.
+    /// The number after the last event.
     pub next: u64,
-    /// Prefix hashes that came into the cache.
+    /// Prefix hashes that were added to the cache.
     pub added: Vec<u64>,
-    /// Prefix hashes that left it.
+    /// Prefix hashes that were evicted.
     pub removed: Vec<u64>,
 }
 
-/// Something that the core asks of the edge towards targets.
+/// An action for the edge towards targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub enum TargetAction {
-    /// Probe a target: `GET /health`, and for engines `GET /cache-events?after=N`.
+    /// Probes a target: `GET /health`, and for engines `GET /cache-events?after=N`.
     Probe {
-        /// The target.
         target: TargetName,
-        /// Where it listens, as `address:port`.
+        /// The target's address, as `address:port`.
         address: String,
-        /// Cache events after this number; `None` for a plain service.
+        /// The number after which cache events are requested; `None` for a plain service.
         cache_after: Option<u64>,
     },
-    /// Order an engine: `POST /orders`.
+    /// Sends an order to an engine: `POST /orders`.
     Order {
-        /// The target.
         target: TargetName,
-        /// Where it listens, as `address:port`.
+        /// The target's address, as `address:port`.
         address: String,
-        /// The fencing number.
         fence: u64,
-        /// The state that it shall reach.
+        /// The desired state.
         state: EngineState,
     },
 }
--- a/crates/beechsaddle-core/src/targets/prefix_index.rs
+++ b/crates/beechsaddle-core/src/targets/prefix_index.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::clock::ClockTime;
-use crate::target::CacheNews;
+use crate::target::CacheUpdate;
 
 /// How recently a prefix must have been sent or reported to survive a gap in the cache events, in
 /// milliseconds: engines evict the least recently used block, so recent ones are probably still
@@ -62,7 +62,7 @@
     }
 
     /// Applies cache events of the engine.
-    pub fn apply(&mut self, now: ClockTime, update: &CacheNews) {
+    pub fn apply(&mut self, now: ClockTime, update: &CacheUpdate) {
         if update.next < self.next_event {
             // Event numbers that decrease mean that the engine restarted with an empty cache. With
             // the old hashes it would be sent prompts that it has to read in full.
--- a/crates/beechsaddle-core/src/targets/table_probes.rs
+++ b/crates/beechsaddle-core/src/targets/table_probes.rs
@@ -7,7 +7,9 @@
 use crate::hash::stable_hash;
 use crate::members::{HostState, MemberTable};
 use crate::outbox::CoreOutbox;
-use crate::target::{CacheNews, EngineState, LoadReport, ProbeOutcome, TargetAction, TargetEvent};
+use crate::target::{
+    CacheUpdate, EngineState, LoadReport, ProbeOutcome, TargetAction, TargetEvent,
+};
 
 impl TargetTable {
     /// Sends due probes and applies time-based changes.
@@ -129,7 +131,7 @@
         }
     }
 
-    fn apply_cache_update(&mut self, now: ClockTime, cache: Option<&CacheNews>) {
+    fn apply_cache_update(&mut self, now: ClockTime, cache: Option<&CacheUpdate>) {
         if let Some(update) = cache {
             self.prefixes.apply(now, update);
         }
--- a/crates/beechsaddle-core/src/targets/table_updates.rs
+++ b/crates/beechsaddle-core/src/targets/table_updates.rs
@@ -4,7 +4,7 @@
 use crate::clock::ClockTime;
 use crate::members::HostState;
 use crate::names::{RouterIncarnation, TargetName};
-use crate::peer::TargetNews;
+use crate::peer::TargetUpdate;
 
 /// The number of targets not in service that each heartbeat repeats in rotation, for routers that
 /// missed the first update.
@@ -15,7 +15,12 @@
 
 impl TargetTable {
     /// Merges a peer's updates from its heartbeat.
-    pub fn on_updates(&mut self, now: ClockTime, from: &RouterIncarnation, updates: &[TargetNews]) {
+    pub fn on_updates(
+        &mut self,
+        now: ClockTime,
+        from: &RouterIncarnation,
+        updates: &[TargetUpdate],
+    ) {
         if *from == self.me {
             return;
         }
@@ -44,12 +49,12 @@
     }
 
     /// Returns the updates for the next heartbeat, the urgent ones first.
-    pub fn take_updates(&mut self, now: ClockTime) -> Vec<TargetNews> {
+    pub fn take_updates(&mut self, now: ClockTime) -> Vec<TargetUpdate> {
         let mut names = self.names_by(|entry, _| entry.urgent);
         names.extend(self.names_by(|entry, _| entry.announce && !entry.urgent));
         names.extend(self.take_repeated(now));
         names.extend(self.names_by(|entry, options| entry.has_load_change(options)));
-        let mut updates: Vec<TargetNews> = Vec::new();
+        let mut updates: Vec<TargetUpdate> = Vec::new();
         for target in names {
             if updates.len() >= self.options.update_limit {
                 break;
@@ -98,7 +103,7 @@
         not_serving
     }
 
-    fn store_early_update(&mut self, update: &TargetNews) {
+    fn store_early_update(&mut self, update: &TargetUpdate) {
         if let Some(stored) = self.early_updates.get_mut(&update.target) {
             let is_final = stored.epoch == update.epoch && stored.state == HostState::Leaving;
             let is_newer = (update.epoch, update.sequence) > (stored.epoch, stored.sequence);
@@ -118,7 +123,7 @@
 
 impl TargetEntry {
     /// Merges a peer's update about this epoch.
-    pub fn merge_update(&mut self, now: ClockTime, update: &TargetNews, options: &TargetOptions) {
+    pub fn merge_update(&mut self, now: ClockTime, update: &TargetUpdate, options: &TargetOptions) {
         let received = StateReport::new(update.state, update.sequence);
         let is_probed_live = self.probe.observed_state(now, options) == Some(HostState::Live);
         match self.agreed.merge(received) {
--- a/crates/beechsaddle-core/src/targets/target_entry.rs
+++ b/crates/beechsaddle-core/src/targets/target_entry.rs
@@ -6,7 +6,7 @@
 use crate::clock::ClockTime;
 use crate::members::{HostRecord, HostState};
 use crate::names::{DomainName, ModelName, ServiceName, TargetName};
-use crate::peer::TargetNews;
+use crate::peer::TargetUpdate;
 use crate::target::{EngineState, LoadReport};
 
 /// The assumed duration of a call to a plain service, in milliseconds; only the ratio between
@@ -198,9 +198,9 @@
     }
 
     /// Creates the update for peers.
-    pub fn to_update(&self) -> TargetNews {
+    pub fn to_update(&self) -> TargetUpdate {
         let is_prober = self.probe.rank.is_some();
-        TargetNews {
+        TargetUpdate {
             target: self.target.clone(),
             epoch: self.epoch,
             state: self.agreed.state(),
--- a/crates/beechsaddle-core/src/targets/target_table.rs
+++ b/crates/beechsaddle-core/src/targets/target_table.rs
@@ -8,7 +8,7 @@
 use crate::members::{HostRecord, HostRole, HostState};
 use crate::names::{DomainName, RouterIncarnation, ServiceName, TargetName};
 use crate::outbox::CoreOutbox;
-use crate::peer::TargetNews;
+use crate::peer::TargetUpdate;
 use crate::report::{CounterName, LogLevel, LogLine, ReportAction};
 use crate::status::TargetStatus;
 
@@ -20,7 +20,7 @@
     pub(super) domain: DomainName,
     pub(super) entries: BTreeMap<TargetName, TargetEntry>,
     /// Updates of peers about targets or epochs that are not in this router's host list yet.
-    pub(super) early_updates: BTreeMap<TargetName, TargetNews>,
+    pub(super) early_updates: BTreeMap<TargetName, TargetUpdate>,
     pub(super) picker: TargetPicker,
     /// Fingerprint of the live routers that the probes were last assigned to.
     pub(super) planned_fingerprint: Option<u64>,
--- a/crates/beechsaddle-core/tests/catalogue_follow.rs
+++ b/crates/beechsaddle-core/tests/catalogue_follow.rs
@@ -1,9 +1,9 @@
-//! How changes of the catalogue come into force, and never go out of it.
+//! Tests that catalogue changes take effect at a router and that the revision never decreases.
 
 mod members_support;
 
 use beechsaddle_core::catalogue::{
-    CatalogueDesk, CatalogueEntry, CatalogueHead, CatalogueOptions, CatalogueView, EntryEdit,
+    CatalogueEntry, CatalogueHead, CatalogueManager, CatalogueOptions, CatalogueView, EntryEdit,
     EntryId, EntryKind,
 };
 use beechsaddle_core::members::MemberTable;
@@ -18,9 +18,9 @@
     platform_calls, router, service, stored, table,
 };
 
-/// A desk with a fake platform that answers at once from a list of changes.
+/// A manager with a fake platform that answers at once from a list of changes.
 struct Follower {
-    desk: CatalogueDesk,
+    manager: CatalogueManager,
     members: MemberTable,
     pending: Vec<(PlatformTicket, PlatformCall)>,
 }
@@ -29,11 +29,11 @@
     fn new(me: &str, others: &[(&str, u64)]) -> Self {
         let me = router(me, 1);
         let options = CatalogueOptions {
-            settle_ms: 0,
+            watch_delay_ms: 0,
             ..CatalogueOptions::default()
         };
         Follower {
-            desk: CatalogueDesk::new(options, me.clone()),
+            manager: CatalogueManager::new(options, me.clone()),
             members: table(&me, others),
             pending: Vec::new(),
         }
@@ -41,42 +41,42 @@
 
     fn start(&mut self, now: u64) -> CoreOutbox {
         let mut outbox = CoreOutbox::new();
-        self.desk.start(at(now), &self.members, &mut outbox);
-        self.note(outbox)
+        self.manager.start(at(now), &self.members, &mut outbox);
+        self.collect_calls(outbox)
     }
 
     fn tick(&mut self, now: u64) -> CoreOutbox {
         let mut outbox = CoreOutbox::new();
-        self.desk.tick(at(now), &self.members, &mut outbox);
-        self.note(outbox)
+        self.manager.tick(at(now), &self.members, &mut outbox);
+        self.collect_calls(outbox)
     }
 
     fn peer(&mut self, now: u64, from: &str, message: PeerMessage) -> CoreOutbox {
         let mut outbox = CoreOutbox::new();
         let from = router(from, 1);
-        self.desk
+        self.manager
             .on_peer(at(now), &from, message, &self.members, &mut outbox);
-        self.note(outbox)
+        self.collect_calls(outbox)
     }
 
-    fn hear_revision(&mut self, now: u64, from: &str, revision: u64) -> CoreOutbox {
+    fn receive_revision(&mut self, now: u64, from: &str, revision: u64) -> CoreOutbox {
         let mut outbox = CoreOutbox::new();
         let from = router(from, 1);
-        self.desk
+        self.manager
             .on_heartbeat_revision(at(now), &from, revision, &self.members, &mut outbox);
-        self.note(outbox)
+        self.collect_calls(outbox)
     }
 
-    /// Answers the pending call.
+    /// Replies to the pending call.
     fn answer(&mut self, now: u64, reply: PlatformReply) -> CoreOutbox {
         let (ticket, _) = self.pending.pop().expect("a call is pending");
         let mut outbox = CoreOutbox::new();
-        self.desk
+        self.manager
             .on_platform(at(now), ticket, reply, &self.members, &mut outbox);
-        self.note(outbox)
+        self.collect_calls(outbox)
     }
 
-    /// Answers reads from a platform whose newest change is `newest`, until no read is pending.
+    /// Replies to reads from a platform whose newest change is `newest`, until no read is pending.
     fn answer_reads(&mut self, now: u64, newest: u64) {
         while let Some((_, PlatformCall::Read { key })) = self.pending.last().cloned() {
             let revision = key
@@ -92,19 +92,19 @@
         }
     }
 
-    fn note(&mut self, outbox: CoreOutbox) -> CoreOutbox {
+    fn collect_calls(&mut self, outbox: CoreOutbox) -> CoreOutbox {
         self.pending.extend(platform_calls(&outbox));
         assert!(self.pending.len() <= 1, "one call at a time");
         outbox
     }
 
     fn revision(&self) -> u64 {
-        self.desk.view().revision()
+        self.manager.view().revision()
     }
 
-    /// What `trznica` costs: the revision that last changed it.
+    /// Returns the cost of `trznica`, which equals the revision of its last change.
     fn cost(&self) -> u64 {
-        let service = self.desk.view().service(&ServiceName::new("trznica"));
+        let service = self.manager.view().service(&ServiceName::new("trznica"));
         service.map_or(0, |entry| entry.call_cost)
     }
 }
@@ -116,8 +116,8 @@
     }
 }
 
-// A whole session of a lone router: the base in two parts, the changes after it, a watch, a change
-// that the watch skipped, an outage and its end.
+// A whole session of a single router: the base in two parts, the changes after it, a watch, a
+// change that the watch skipped, an outage and its end.
 #[test]
 fn session_base_changes_watch_outage_matches_golden() {
     let mut follower = Follower::new("a", &[]);
@@ -165,15 +165,15 @@
     compare_golden("catalogue_base_changes_watch_outage.txt", &lines);
 }
 
-// A router restarts while the platform is away. A peer's heartbeat names a revision, and the peer
-// sends its catalogue. Then another peer that lags sends an older base, and the platform comes back
-// with less than the peers have: neither takes anything back.
+// A router restarts during an outage of the platform and takes the catalogue of a peer with a
+// higher revision. An older base from a lagging peer, and older changes from the platform after the
+// outage, must not replace it.
 #[test]
-fn restart_in_outage_takes_peers_revision_and_keeps_it() {
+fn restart_in_outage_adopts_highest_revision_of_peers() {
     let mut follower = Follower::new("a", &[("b", 7), ("c", 5)]);
     follower.start(0);
     follower.answer(5, PlatformReply::Unreachable);
-    let outbox = follower.hear_revision(100, "b", 7);
+    let outbox = follower.receive_revision(100, "b", 7);
     let request = PeerMessage::CatalogueRequest { after: 0 };
     assert_eq!(peer_messages(&outbox), [(router("b", 1), request)]);
     let outbox = follower.peer(120, "b", update(Some(7), &[]));
@@ -186,8 +186,8 @@
     assert_eq!((follower.revision(), follower.cost()), (7, 7));
 }
 
-// A domain is cut off for an hour, while two changes are applied. Its routers keep what they have.
-// After the cut they read both in order, and every router that did not watch gets them pushed.
+// A domain is cut off for an hour, while two changes are applied. Its routers must retain their
+// catalogue, then read both changes in order and push them to routers that do not watch.
 #[test]
 fn domain_cut_for_an_hour_then_two_newer_revisions() {
     let mut follower = Follower::new("a", &[("b", 5)]);
@@ -234,19 +234,19 @@
     assert_eq!(pushed, expected);
 }
 
-// A pushed change is lost and the next one arrives. Taking the later one alone would leave what
-// the lost one changed out of force for ever. The revision in a heartbeat shows the gap.
+// A pushed change is lost and the next one arrives. Applying only the later one would lose the
+// first for good; the revision in a heartbeat must reveal the gap.
 #[test]
 fn lost_update_is_repaired_by_heartbeat() {
     let mut follower = Follower::new("a", &[("b", 9)]);
     follower.peer(0, "b", update(Some(7), &[]));
     follower.peer(10, "b", update(None, &[9]));
     assert_eq!(follower.revision(), 7);
-    let outbox = follower.hear_revision(600, "b", 9);
+    let outbox = follower.receive_revision(600, "b", 9);
     let request = PeerMessage::CatalogueRequest { after: 7 };
     assert_eq!(peer_messages(&outbox), [(router("b", 1), request)]);
-    // One request is enough until there was time for the answer.
-    assert!(peer_messages(&follower.hear_revision(700, "c", 9)).is_empty());
+    // A second request is not sent before the first could be answered.
+    assert!(peer_messages(&follower.receive_revision(700, "c", 9)).is_empty());
     follower.peer(720, "b", update(None, &[8, 9]));
     assert_eq!((follower.revision(), follower.cost()), (9, 9));
 }
@@ -270,19 +270,20 @@
     assert!(peer_messages(&outbox).is_empty());
 }
 
-// A router is further behind than one answer holds: it asks on at once, not a heartbeat later.
+// A router is further behind than one reply covers. It must request the remainder at once, not at
+// the next heartbeat.
 #[test]
-fn on_peer_partial_update_asks_on() {
+fn on_peer_partial_update_requests_remainder() {
     let mut follower = Follower::new("a", &[("b", 200)]);
     let outbox = follower.peer(0, "b", update(None, &(1..=64).collect::<Vec<u64>>()));
     let request = PeerMessage::CatalogueRequest { after: 64 };
     assert_eq!(peer_messages(&outbox), [(router("b", 1), request)]);
 }
 
-// All watchers of a domain are cut off or dead. The others look at the platform themselves often
-// enough that a change is in force within 12 s.
+// All watchers of a domain are cut off or dead. The other routers must poll the platform often
+// enough that a change takes effect within 12 s.
 #[test]
-fn tick_router_that_does_not_watch_looks_now_and_then() {
+fn tick_router_that_does_not_watch_polls() {
     let others: Vec<(String, u64)> = (0..12).map(|number| (format!("b{number}"), 5)).collect();
     let others: Vec<(&str, u64)> = others
         .iter()
@@ -306,10 +307,10 @@
     assert!(watchers < 20, "{watchers}");
 }
 
-// The answer to a watch never comes: after a minute the router looks again. When the answer comes
-// later after all, it starts no second chain of calls.
+// A watch is never answered: after a minute the router reads again. A later reply to the watch must
+// not start a second chain of calls.
 #[test]
-fn on_platform_answer_after_giving_up_is_ignored() {
+fn on_platform_answer_after_timeout_is_ignored() {
     let mut follower = Follower::new("a", &[]);
     follower.start(0);
     follower.answer_reads(10, 5);
@@ -322,15 +323,15 @@
     };
     let members = table(&router("a", 1), &[]);
     follower
-        .desk
+        .manager
         .on_platform(at(60_020), late.0, reply, &members, &mut outbox);
     assert!(outbox.actions.is_empty());
 }
 
-// A key moves from one workspace to another, in two changes. Removing the first workspace later
-// must not take the key from the second.
+// A key moves from one workspace to another in two changes. A later removal of the first workspace
+// must not remove the key from the second.
 #[test]
-fn apply_key_that_moved_stays_with_its_new_workspace() {
+fn apply_moved_key_stays_with_its_new_workspace() {
     use beechsaddle_core::call::KeyDigest;
     use beechsaddle_core::catalogue::{EntryHeader, WorkspaceEntry};
     let workspace = |name: &str| {
@@ -366,9 +367,9 @@
 }
 
 quickcheck! {
-    // Whatever order changes and bases come in, doubled and with gaps, the revision never goes
-    // down and what is in force is what that revision says.
-    fn updates_in_any_order_never_go_back(messages: Vec<(Option<u8>, Vec<u8>)>) -> bool {
+    // Whatever the order of changes and bases, with duplicates and gaps, the revision never
+    // decreases and the catalogue in force is that of its revision.
+    fn updates_in_any_order_never_lower_the_revision(messages: Vec<(Option<u8>, Vec<u8>)>) -> bool {
         let mut follower = Follower::new("a", &[("b", 1)]);
         let mut before = 0;
         for (base, changes) in messages {
--- a/crates/beechsaddle-core/tests/catalogue_spread.rs
+++ b/crates/beechsaddle-core/tests/catalogue_spread.rs
@@ -1,10 +1,10 @@
-//! How long a change takes until it is in force at every router.
+//! Tests of the time until a change is in force at every router.
 
 mod members_support;
 
 use std::collections::BTreeSet;
 
-use beechsaddle_core::catalogue::{CatalogueDesk, CatalogueOptions};
+use beechsaddle_core::catalogue::{CatalogueManager, CatalogueOptions};
 use beechsaddle_core::members::{
     HeartbeatUpdate, MemberLiveness, MemberManager, MemberOptions, MemberTable,
 };
@@ -16,32 +16,32 @@
     address, at, change_object, found, hosts_object, platform_calls, router, router_record,
 };
 
-/// Domains and the routers of each, as many as a large fleet has in a domain.
+/// The domains, and the routers of each, as many as in a domain of a large fleet.
 const DOMAINS: [&str; 2] = ["split-hala", "rijeka-hala"];
 const ROUTERS: usize = 24;
 
-/// The time of a tick, in milliseconds; messages arrive in the next tick.
+/// The tick interval in milliseconds; messages arrive at the next tick.
 const TICK: u64 = 50;
 
-/// How long the platform lets a watch wait, in milliseconds.
+/// How long the platform holds a watch, in milliseconds.
 const WATCH: u64 = 25_000;
 
-/// When the next change is applied: all routers have started by then.
+/// When the next change is applied, in milliseconds: all routers have started by then.
 const APPLIED_AT: u64 = 10_000;
 
 struct FleetRouter {
     members: MemberManager,
-    catalogue: CatalogueDesk,
-    /// Waiting watches, each with its begin.
+    catalogue: CatalogueManager,
+    /// Pending watches, each with its start time.
     watches: Vec<(u64, PlatformTicket, PlatformCall)>,
     in_force_at: Option<u64>,
 }
 
-/// Two domains; the platform answers at once, but not those that are cut off from it.
+/// Two domains; the platform replies at once to routers that are not cut off from it.
 struct Fleet {
     routers: Vec<FleetRouter>,
     cut_from_platform: BTreeSet<HostName>,
-    /// Whether updates of the catalogue that peers push get lost.
+    /// Whether pushed catalogue updates are lost.
     loses_updates: bool,
     newest: u64,
     sent: Vec<(RouterIncarnation, String, PeerMessage)>,
@@ -58,7 +58,7 @@
             let options = MemberOptions::default();
             FleetRouter {
                 members: MemberManager::new(options, me.clone(), domain, address(&host)),
-                catalogue: CatalogueDesk::new(CatalogueOptions::default(), me),
+                catalogue: CatalogueManager::new(CatalogueOptions::default(), me),
                 watches: Vec::new(),
                 in_force_at: None,
             }
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Runs until the change is in force everywhere and gives how long that took; `prepare` is
-    /// called right before the change is applied.
+    /// Runs until the change is in force everywhere and returns the time that it took; `prepare`
+    /// runs right before the change is applied.
     fn run(&mut self, prepare: impl Fn(&mut Fleet)) -> u64 {
         for index in 0..self.routers.len() {
             let mut outbox = CoreOutbox::new();
@@ -110,13 +110,13 @@
             let members = fleet_router.members.table();
             fleet_router.catalogue.tick(at(now), members, &mut outbox);
             if fleet_router.members.is_heartbeat_due(at(now)) {
-                let news = HeartbeatUpdate {
+                let update = HeartbeatUpdate {
                     catalogue_revision: fleet_router.catalogue.view().revision(),
                     ..HeartbeatUpdate::default()
                 };
                 fleet_router
                     .members
-                    .send_heartbeat(at(now), news, &mut outbox);
+                    .send_heartbeat(at(now), update, &mut outbox);
             }
             fleet_router.members.tick(at(now), &mut outbox);
             self.carry_out(index, now, outbox);
@@ -127,7 +127,7 @@
         for (from, to, message) in std::mem::take(&mut self.sent) {
             let update = matches!(message, PeerMessage::CatalogueUpdate { .. });
             if update && self.loses_updates {
-                // Only what is pushed is lost, for the first second.
+                // Only pushes of the first second are lost.
                 self.loses_updates = now < APPLIED_AT + 1_000;
                 continue;
             }
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Carries out what a router wants, until it waits.
+    /// Carries out a router's actions until it waits.
     fn carry_out(&mut self, index: usize, now: u64, outbox: CoreOutbox) {
         let me = self.routers[index].members.table().me().clone();
         for action in &outbox.actions {
@@ -275,7 +275,7 @@
         self.carry_out(index, now, outbox);
     }
 
-    /// The routers that watch the catalogue.
+    /// Returns the routers that watch the catalogue.
     fn watchers(&self) -> BTreeSet<HostName> {
         let watching = self.routers.iter().filter(|fleet_router| {
             let mut calls = fleet_router.watches.iter();
@@ -288,7 +288,7 @@
 }
 
 impl Fleet {
-    /// How many pairs of routers of two domains hear each other, counted from both sides.
+    /// Returns the number of live links between routers of two domains, counted from both sides.
     fn foreign_links(&self) -> usize {
         let tables = self.routers.iter().map(|router| router.members.table());
         let links = tables.map(|table| {
@@ -316,29 +316,29 @@
     assert!(span <= 2_000, "{span}");
 }
 
-// All pushes are lost. The revision in the heartbeats shows the gap to every router.
+// All pushes are lost. The revision in heartbeats must reveal the gap to every router.
 #[test]
-fn change_whose_pushes_are_lost_is_in_force_by_heartbeats() {
+fn change_with_lost_pushes_takes_effect_by_heartbeats() {
     let mut fleet = Fleet::new();
     let span = fleet.run(|fleet| fleet.loses_updates = true);
     println!("pushes lost: in force everywhere after {span} ms");
     assert!(span <= 3_000, "{span}");
 }
 
-// The platform can't be reached from any watcher, though from the other routers. They look for
-// themselves and tell the watchers.
+// All watchers, but no other routers, are cut off from the platform. The other routers must poll
+// the platform and forward the change to the watchers.
 #[test]
-fn change_with_all_watchers_cut_off_is_in_force_within_twelve_seconds() {
+fn change_with_all_watchers_cut_off_takes_effect_within_twelve_seconds() {
     let mut fleet = Fleet::new();
     let span = fleet.run(|fleet| fleet.cut_from_platform = fleet.watchers());
     println!("watchers cut off: in force everywhere after {span} ms");
     assert!((500..12_000).contains(&span), "{span}");
 }
 
-// One domain is cut off from the platform, but not from the other domain. The bridges carry it, at
-// once and not only by their heartbeats, which come every 3 s.
+// One domain is cut off from the platform, but not from the other domain. The bridges must forward
+// the change at once rather than with their heartbeats, which are sent every 3 s.
 #[test]
-fn change_reaches_domain_without_platform_by_bridges() {
+fn change_reaches_domain_without_platform_through_bridges() {
     let mut fleet = Fleet::new();
     let span = fleet.run(|fleet| {
         let tables = fleet.routers.iter().map(|router| router.members.table());
--- a/crates/beechsaddle-core/tests/fault_fleet/fault_parcel.rs
+++ b/crates/beechsaddle-core/tests/fault_fleet/fault_envelope.rs
@@ -1,33 +1,33 @@
-//! The `fault_parcel` module provides everything that is on its way.
+//! The `fault_envelope` module provides the scheduled events of the simulation.
 
 use beechsaddle_core::platform::{PlatformCall, PlatformTicket};
 use beechsaddle_core::prelude::*;
 
-/// Something that happens at its time.
+/// An event that is scheduled for a time.
 #[derive(Clone, Debug)]
-pub enum FaultParcel {
-    /// An event for one life of a host's router.
+pub enum FaultEnvelope {
+    /// An event for one incarnation of a host's router.
     Event {
         node: usize,
         epoch: u64,
         event: CoreEvent,
     },
-    /// The clock of one life of a host's router.
+    /// The next tick of one incarnation of a host's router.
     Clock { node: usize, epoch: u64 },
     /// A call reaches the platform.
-    Land {
+    CallArrived {
         node: usize,
         epoch: u64,
         ticket: PlatformTicket,
         call: PlatformCall,
-        /// Whether the answer finds its way back.
+        /// Whether the reply is delivered.
         is_answered: bool,
     },
-    /// A caller tries again.
+    /// A caller retries.
     Retry { call: CallId },
 }
 
-/// A watch that waits at the platform.
+/// A watch that is pending at the platform.
 #[derive(Clone, Debug)]
 pub struct WaitingWatch {
     pub node: usize,
--- a/crates/beechsaddle-core/tests/fault_fleet/fault_store.rs
+++ b/crates/beechsaddle-core/tests/fault_fleet/fault_store.rs
@@ -1,4 +1,4 @@
-//! The `fault_store` module provides the platform's objects and what was ever written to them.
+//! The `fault_store` module provides the platform's objects and the history of writes.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
 use beechsaddle_core::platform::{PlatformCall, PlatformReply, StoredObject, WriteGuard};
 use beechsaddle_core::prelude::*;
 
-/// The objects of a platform that is never wrong, with a log of its broken rules.
+/// The objects of a platform without faults, with a log of violated invariants.
 #[derive(Default)]
 pub struct FaultStore {
     objects: BTreeMap<ObjectKey, (u64, PlatformObject)>,
     pub revision: u64,
-    /// Every bill that any journal ever held.
+    /// Every bill that was ever written to a journal.
     pub bills: Vec<BillRecord>,
-    /// What was wrong with a write.
+    /// Invariants that a write violated.
     pub faults: Vec<String>,
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The objects under a prefix that are newer than a revision.
+    /// Returns the objects under a prefix that are newer than a revision.
     pub fn changed(&self, prefix: &ObjectKey, after: u64, with_value: bool) -> Vec<StoredObject> {
         self.objects
             .iter()
@@ -59,13 +59,13 @@
             .collect()
     }
 
-    /// Writes without a condition, as an operator's tool that read a moment before.
+    /// Writes without a condition, like an operator's tool that read just before.
     pub fn put(&mut self, key: &str, object: PlatformObject) {
         self.revision += 1;
         self.objects.insert(key.into(), (self.revision, object));
     }
 
-    /// Tops the budget up.
+    /// Adds a top-up to the budget.
     pub fn top_up(&mut self, id: &str, tokens: u64) {
         let mut ledger = self.ledger();
         let account = ledger.budgets.entry("main".into());
@@ -75,7 +75,7 @@
         self.put(key.as_str(), PlatformObject::Ledger(ledger));
     }
 
-    /// The budget's account.
+    /// Returns the budget's account.
     pub fn account(&self) -> BudgetAccount {
         self.ledger().budgets["main"].clone()
     }
@@ -99,7 +99,7 @@
     ) -> PlatformReply {
         let holds = match guard {
             WriteGuard::Absent => self.version(key).is_none(),
-            WriteGuard::Version(wanted) => self.version(key) == Some(wanted),
+            WriteGuard::Version(expected) => self.version(key) == Some(expected),
         };
         if !holds {
             return PlatformReply::Conflict;
--- a/crates/beechsaddle-core/tests/fault_fleet/fleet_callers.rs
+++ b/crates/beechsaddle-core/tests/fault_fleet/fleet_callers.rs
@@ -1,17 +1,17 @@
-//! The `fleet_callers` module provides what callers do.
+//! The `fleet_callers` module provides the behaviour of callers.
 
 use beechsaddle_core::call::{AnswerEnd, CallArrival, CallEvent, CallRoute, KeyDigest, TokenUsage};
 use beechsaddle_core::prelude::*;
 
-use super::call_book::{CallFate, FinalAnswer};
-use super::fault_parcel::FaultParcel;
+use super::call_log::{CallOutcome, FinalAnswer};
+use super::fault_envelope::FaultEnvelope;
 use super::{FaultFleet, NODES};
 
-/// How often a caller tries again.
-const RETRIES_MAX: u32 = 3;
+/// The maximum number of retries of a call.
+const MAX_RETRIES: u32 = 3;
 
 impl FaultFleet {
-    /// A call through a router, if that one serves.
+    /// Sends a call through a router if that router serves.
     pub(super) fn call(
         &mut self,
         node: usize,
@@ -47,8 +47,8 @@
             number: self.call_count,
         };
         let deadline = self.chance(200).then(|| {
-            let patience_ms = self.between(1, 3_000);
-            self.now.plus_ms(patience_ms)
+            let timeout_ms = self.between(1, 3_000);
+            self.now.plus_ms(timeout_ms)
         });
         let arrival = CallArrival {
             call: call.clone(),
@@ -62,7 +62,7 @@
             output_bound: Some(100),
             prefix: Vec::new(),
         };
-        let fate = CallFate {
+        let outcome = CallOutcome {
             arrival: arrival.clone(),
             node,
             attempts: Default::default(),
@@ -71,26 +71,26 @@
             is_orphan: false,
             retries,
         };
-        self.book.calls.insert(call, fate);
+        self.call_log.calls.insert(call, outcome);
         let event = CallEvent::Arrived(Box::new(arrival));
         self.send_event(0, node, CoreEvent::Call(event));
     }
 
-    /// A caller that was told that its call did not run may try again.
+    /// Lets a caller retry, at random, a call that did not run.
     pub(super) fn on_refused(&mut self, call: &CallId, refusal: &CallRefusal) {
         if refusal.ran == RanState::No && self.chance(500) {
             let delay_ms = refusal.retry_after_ms.unwrap_or(100).min(5_000);
-            self.send(delay_ms, FaultParcel::Retry { call: call.clone() });
+            self.send(delay_ms, FaultEnvelope::Retry { call: call.clone() });
         }
     }
 
     pub(super) fn retry(&mut self, call: &CallId) {
-        let fate = &self.book.calls[call];
-        if fate.retries >= RETRIES_MAX {
+        let outcome = &self.call_log.calls[call];
+        if outcome.retries >= MAX_RETRIES {
             return;
         }
-        let arrival = fate.arrival.clone();
-        let retries = fate.retries + 1;
+        let arrival = outcome.arrival.clone();
+        let retries = outcome.retries + 1;
         let node = self.between(0, NODES as u64 - 1) as usize;
         self.arrive(
             node,
@@ -101,21 +101,21 @@
         );
     }
 
-    /// A caller hangs up, as its router's edge tells it.
+    /// Disconnects a caller, and raises the event of its router's edge.
     pub(super) fn hang_up(&mut self, number: u8) {
         let open: Vec<CallId> = self
-            .book
+            .call_log
             .calls
             .iter()
-            .filter(|(_, fate)| fate.is_open() && !self.nodes[fate.node].is_frozen)
+            .filter(|(_, outcome)| outcome.is_open() && !self.nodes[outcome.node].is_frozen)
             .map(|(call, _)| call.clone())
             .collect();
         let Some(call) = open.get(usize::from(number) % open.len().max(1)).cloned() else {
             return;
         };
-        let fate = &self.book.calls[&call];
-        let node = fate.node;
-        let last = fate.attempts.iter().next_back();
+        let outcome = &self.call_log.calls[&call];
+        let node = outcome.node;
+        let last = outcome.attempts.iter().next_back();
         let last = last.map(|(attempt, seen)| (attempt.clone(), seen.clone()));
         let event = match last {
             Some((attempt, seen)) if !seen.is_over => CallEvent::AnswerEnded {
@@ -126,34 +126,34 @@
                     output: seen.relayed,
                 },
             },
-            // The answer came; only its last part was missing, and the core knows its usage.
+            // The answer was relayed; only its last part is held, and the core knows its usage.
             Some((_, seen)) if seen.relayed > 0 => {
-                return self.book.end(&call, FinalAnswer::Left);
+                return self.call_log.end(&call, FinalAnswer::CallerGone);
             }
             Some(_) | None => CallEvent::CallerGone {
                 call: call.clone(),
                 last_attempt: None,
             },
         };
-        self.book.end(&call, FinalAnswer::Left);
+        self.call_log.end(&call, FinalAnswer::CallerGone);
         self.take(node, CoreEvent::Call(event));
     }
 
-    /// The callers of a router that died; those with a key of their own try again elsewhere.
-    pub(super) fn lose_callers(&mut self, node: usize) {
+    /// Drops the callers of a router that died; those with an idempotency key may retry elsewhere.
+    pub(super) fn drop_callers(&mut self, node: usize) {
         let name = self.nodes[node].name.clone();
         let mut lost = Vec::new();
-        for (call, fate) in &mut self.book.calls {
-            fate.is_orphan |= call.router == name;
-            if call.router == name && fate.is_open() {
-                fate.is_lost = true;
-                lost.push((call.clone(), fate.arrival.idempotency.is_some()));
+        for (call, outcome) in &mut self.call_log.calls {
+            outcome.is_orphan |= call.router == name;
+            if call.router == name && outcome.is_open() {
+                outcome.is_lost = true;
+                lost.push((call.clone(), outcome.arrival.idempotency.is_some()));
             }
         }
         for (call, has_key) in lost {
             if has_key && self.chance(700) {
                 let delay_ms = self.between(50, 3_000);
-                self.send(delay_ms, FaultParcel::Retry { call });
+                self.send(delay_ms, FaultEnvelope::Retry { call });
             }
         }
     }
--- a/crates/beechsaddle-core/tests/fault_fleet/fleet_checks.rs
+++ b/crates/beechsaddle-core/tests/fault_fleet/fleet_checks.rs
@@ -1,20 +1,20 @@
-//! The `fleet_checks` module provides what must hold after each step and after healing.
+//! The `fleet_checks` module provides the invariants after each step and after all faults end.
 
 use beechsaddle_core::prelude::*;
 
 use super::fault_network::FaultNetwork;
 use super::{FaultFleet, NODES};
 
-/// How long a healed fleet may take until all is folded and given back, in milliseconds.
+/// The time for a healed fleet to fold all journals and return all grants, in milliseconds.
 const HEAL_MS: u64 = 60_000;
 
 impl FaultFleet {
-    /// What must hold at every moment.
+    /// Checks the invariants that hold at every moment.
     pub fn check(&mut self) {
         self.faults.append(&mut self.store.faults);
-        self.faults.append(&mut self.book.faults);
+        self.faults.append(&mut self.call_log.faults);
         let account = self.store.account();
-        let relayed = self.book.relayed();
+        let relayed = self.call_log.relayed();
         if relayed > account.paid() {
             let paid = account.paid();
             self.faults.push(format!("{relayed} used of {paid} paid"));
@@ -37,12 +37,12 @@
         host.revision = revision;
     }
 
-    /// Ends every fault and checks what must hold once all has come to rest.
+    /// Ends every fault and checks the invariants of an idle fleet.
     pub fn heal(&mut self) {
         self.heal_without(&[]);
     }
 
-    /// The same, where some hosts never return.
+    /// Does the same, with hosts that never return.
     pub fn heal_without(&mut self, lost: &[usize]) {
         self.network = FaultNetwork::default();
         self.scripts.clear();
@@ -52,7 +52,7 @@
                 self.nodes[node].is_listed = false;
                 continue;
             }
-            self.thaw(node);
+            self.resume(node);
             let domain = self.nodes[node].domain.clone();
             let mut others = self.nodes.iter().filter(|other| other.domain == domain);
             // A domain without routers leaves its journals to the next router that starts there.
@@ -67,15 +67,20 @@
         self.run(HEAL_MS);
         self.check();
         self.check_calls();
-        self.check_money();
+        self.check_accounting();
         self.check_catalogue();
     }
 
     fn check_calls(&mut self) {
-        for fate in self.book.calls.values().filter(|fate| fate.is_open()) {
-            self.faults.push(format!("{fate:?} has no answer"));
+        for outcome in self
+            .call_log
+            .calls
+            .values()
+            .filter(|outcome| outcome.is_open())
+        {
+            self.faults.push(format!("{outcome:?} has no answer"));
         }
-        let lost = self.book.lost_bounds();
+        let lost = self.call_log.lost_bounds();
         for host in &self.nodes {
             let Some(core) = host.core.as_ref().filter(|_| host.is_alive()) else {
                 continue;
@@ -86,7 +91,7 @@
                     .push(format!("{}: {open} open calls", host.name));
             }
             if host.is_draining {
-                self.faults.push(format!("{}: still drains", host.name));
+                self.faults.push(format!("{}: still draining", host.name));
             }
             for grant in core.grants() {
                 if grant.reserved > lost || grant.granted > grant.spent + grant.reserved {
@@ -101,20 +106,20 @@
         alive.all(|host| host.name != *router)
     }
 
-    fn check_money(&mut self) {
+    fn check_accounting(&mut self) {
         let account = self.store.account();
-        if account.granted() > self.book.lost_bounds() {
+        if account.granted() > self.call_log.lost_bounds() {
             self.faults
-                .push(format!("grants stay: {:?}", account.grants));
+                .push(format!("grants not returned: {:?}", account.grants));
         }
         if self.kill_count + self.freeze_count == 0 {
-            let (lost, doubled) = (account.written_off, self.book.doubled());
-            if lost > doubled {
+            let (lost, duplicate_tokens) = (account.written_off, self.call_log.duplicate_tokens());
+            if lost > duplicate_tokens {
                 self.faults
-                    .push(format!("{lost} written off, {doubled} used twice"));
+                    .push(format!("{lost} written off, {duplicate_tokens} used twice"));
             }
         }
-        let due = self.book.due();
+        let due = self.call_log.due();
         let least: u64 = due.values().map(|due| due.0).sum();
         let most: u64 = due.values().map(|due| due.1).sum();
         let counted = match self.kill_count {
@@ -129,7 +134,7 @@
         }
         self.check_bills(least);
         let answered = due.values().filter(|due| due.0 > 0).count() as u64;
-        let served = self.book.ran_keys(|router| self.is_gone(router)).len() as u64;
+        let served = self.call_log.ran_keys(|router| self.is_gone(router)).len() as u64;
         let is_short = self.kill_count == 0 && account.bills < answered;
         if is_short || account.bills > served {
             let bills = account.bills;
@@ -138,12 +143,13 @@
         }
     }
 
-    /// Every whole answer stands in some journal, and none was written off while all routers lived.
+    /// Checks that every complete answer has a bill, and that none was written off while all
+    /// routers lived.
     fn check_bills(&mut self, least: u64) {
         if self.kill_count > 0 || least == 0 {
             return;
         }
-        for (key, (least, _)) in self.book.due() {
+        for (key, (least, _)) in self.call_log.due() {
             let bills = self.store.bills.iter();
             let bills = bills.filter(|bill| bill.key.text.as_str() == key);
             let billed = bills.map(|bill| bill.tokens).max().unwrap_or(0);
@@ -165,12 +171,12 @@
         }
     }
 
-    /// The calls and the budget's account, for the report of a failed session.
+    /// Returns the calls and the budget's account, for the report of a failed session.
     pub fn report(&self) -> Vec<String> {
         let mut lines = Vec::new();
-        for (call, fate) in &self.book.calls {
-            let (key, finals, attempts) = (fate.key(), &fate.finals, &fate.attempts);
-            let lost = if fate.is_lost { "lost" } else { "" };
+        for (call, outcome) in &self.call_log.calls {
+            let (key, finals, attempts) = (outcome.key(), &outcome.finals, &outcome.attempts);
+            let lost = if outcome.is_lost { "lost" } else { "" };
             lines.push(format!("{call} {key} {lost} {finals:?} {attempts:?}"));
         }
         for bill in &self.store.bills {
--- a/crates/beechsaddle-core/tests/fault_fleet/fleet_edges.rs
+++ b/crates/beechsaddle-core/tests/fault_fleet/fleet_edges.rs
@@ -1,4 +1,4 @@
-//! The `fleet_edges` module provides what the edges of a router do with its actions.
+//! The `fleet_edges` module provides the edges that carry out a router's actions.
 
 use beechsaddle_core::call::{
     AnswerEnd, AttemptFailure, CallAction, CallEvent, CallRoute, TokenUsage,
@@ -8,14 +8,14 @@
 use beechsaddle_core::target::{OrderOutcome, TargetAction, TargetEvent};
 
 use super::FaultFleet;
-use super::call_book::FinalAnswer;
+use super::call_log::FinalAnswer;
 use super::target_script::TargetScript;
 use crate::fleet_setup::probe_outcome;
 
-/// Dispatches, in thousandths, that cross the hanging up of their callers.
+/// The share of dispatches that cross a disconnect of their callers, in thousandths.
 const CROSSED_PERMILLE: u32 = 20;
 
-/// What a call of the plain service costs.
+/// The cost of a call to the plain service, in tokens.
 const SERVICE_COST: u64 = 5;
 
 impl FaultFleet {
@@ -61,7 +61,7 @@
         }
         let from = self.nodes[node].name.clone();
         let event = CoreEvent::Peer { from, message };
-        let copies = 1 + u32::from(self.chance(self.network.double_permille));
+        let copies = 1 + u32::from(self.chance(self.network.duplicate_permille));
         for _ in 0..copies {
             let delay_ms = self.between(1, 2 + self.network.delay_ms);
             self.send_event(delay_ms, receiver, event.clone());
@@ -71,7 +71,8 @@
     fn act_on_call(&mut self, node: usize, action: CallAction) {
         match action {
             CallAction::Refuse { call, refusal } => {
-                self.book.end(&call, FinalAnswer::Refused(refusal.clone()));
+                self.call_log
+                    .end(&call, FinalAnswer::Refused(refusal.clone()));
                 self.on_refused(&call, &refusal);
             }
             CallAction::Dispatch {
@@ -84,7 +85,7 @@
             } => {
                 if self.chance(CROSSED_PERMILLE) {
                     let call = attempt.call;
-                    self.book.end(&call, FinalAnswer::Left);
+                    self.call_log.end(&call, FinalAnswer::CallerGone);
                     let event = CallEvent::CallerGone {
                         call,
                         last_attempt: None,
@@ -92,15 +93,16 @@
                     return self.send_event(1, node, CoreEvent::Call(event));
                 }
                 let script = self.scripts.get(&target).copied().unwrap_or_default();
-                self.book.dispatch(&attempt, script != TargetScript::Closed);
+                self.call_log
+                    .dispatch(&attempt, script != TargetScript::Closed);
                 let usage = self.draw_usage(output_limit);
                 for (delay_ms, event) in script.events(&attempt, usage, repeatable, head_timeout_ms)
                 {
                     self.send_event(delay_ms, node, CoreEvent::Call(event));
                 }
             }
-            CallAction::Finish { call } => self.book.end(&call, FinalAnswer::Whole),
-            CallAction::Abort { call } => self.book.end(&call, FinalAnswer::Broken),
+            CallAction::Finish { call } => self.call_log.end(&call, FinalAnswer::Complete),
+            CallAction::Abort { call } => self.call_log.end(&call, FinalAnswer::Truncated),
             CallAction::StopAccepting => self.nodes[node].is_draining = true,
             CallAction::Models { .. } => {}
         }
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Does the edge's part of what comes from a target; false when nobody waits for it any more.
+    /// Does the edge's part of an event from a target. Returns false if the attempt is finished.
     pub(super) fn relay(&mut self, event: &CallEvent) -> bool {
         let (attempt, used, is_over) = match event {
             CallEvent::AttemptFailed { attempt, failure } => {
@@ -131,11 +133,15 @@
             | CallEvent::ModelsQuery { .. }
             | CallEvent::CallerGone { .. } => return true,
         };
-        let Some(fate) = self.book.calls.get_mut(&attempt.call) else {
+        let Some(outcome) = self.call_log.calls.get_mut(&attempt.call) else {
             return false;
         };
-        let is_service = matches!(fate.arrival.route, CallRoute::Service { .. });
-        let Some(seen) = fate.attempts.get_mut(attempt).filter(|seen| !seen.is_over) else {
+        let is_service = matches!(outcome.arrival.route, CallRoute::Service { .. });
+        let Some(seen) = outcome
+            .attempts
+            .get_mut(attempt)
+            .filter(|seen| !seen.is_over)
+        else {
             return false;
         };
         seen.is_over = is_over;
@@ -151,18 +157,18 @@
         } = event
         {
             let call = attempt.call.clone();
-            self.book.end(&call, FinalAnswer::Broken);
+            self.call_log.end(&call, FinalAnswer::Truncated);
         }
         true
     }
 
     fn exit(&mut self, node: usize) {
         let name = self.nodes[node].name.clone();
-        let open = self.book.calls.values();
-        let open = open.filter(|fate| fate.arrival.call.router == name && fate.is_open());
-        for fate in open {
+        let open = self.call_log.calls.values();
+        let open = open.filter(|outcome| outcome.arrival.call.router == name && outcome.is_open());
+        for outcome in open {
             self.faults
-                .push(format!("{name}: exited before {}", fate.arrival.call));
+                .push(format!("{name}: exited before {}", outcome.arrival.call));
         }
         self.nodes[node].has_exited = true;
         self.nodes[node].is_listed = false;
--- a/crates/beechsaddle-core/tests/fault_fleet/fleet_platform.rs
+++ b/crates/beechsaddle-core/tests/fault_fleet/fleet_platform.rs
@@ -1,15 +1,15 @@
-//! The `fleet_platform` module provides the way to the platform and back.
+//! The `fleet_platform` module provides the delivery of platform calls and replies.
 
 use beechsaddle_core::platform::{PlatformCall, PlatformReply, PlatformTicket};
 use beechsaddle_core::prelude::*;
 
 use super::FaultFleet;
-use super::fault_parcel::{FaultParcel, WaitingWatch};
+use super::fault_envelope::{FaultEnvelope, WaitingWatch};
 
-/// How long a client waits for an answer, in milliseconds.
+/// The timeout of a platform call, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 1_000;
 
-/// How long a watch waits, in milliseconds.
+/// The maximum wait of a watch, in milliseconds.
 const WATCH_MS: u64 = 25_000;
 
 impl FaultFleet {
@@ -46,7 +46,7 @@
         }
         self.send(
             delay_ms,
-            FaultParcel::Land {
+            FaultEnvelope::CallArrived {
                 node,
                 epoch,
                 ticket,
@@ -56,7 +56,7 @@
         );
     }
 
-    pub(super) fn land(
+    pub(super) fn on_call_arrived(
         &mut self,
         node: usize,
         epoch: u64,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Answers the watches that see something new.
+    /// Answers the watches with new changes.
     pub(super) fn answer_watches(&mut self) {
         for watch in std::mem::take(&mut self.watches) {
             if !self.is_current(watch.node, watch.epoch) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Ends the watches that waited for long.
+    /// Answers the watches that reached their maximum wait.
     pub(super) fn expire_watches(&mut self) {
         let now = self.now;
         let (over, waiting) = std::mem::take(&mut self.watches)
--- a/crates/beechsaddle-core/tests/fault_fleet/fleet_step.rs
+++ b/crates/beechsaddle-core/tests/fault_fleet/fleet_step.rs
@@ -8,33 +8,33 @@
 use super::target_script::TargetScript;
 use super::{FaultFleet, NODES};
 
-/// Script steps from this number on change all targets of a domain.
+/// Script steps with this target number or a higher one change all targets of a domain.
 const WHOLE_DOMAIN: u8 = 160;
 
-/// What happens next; numbers are taken modulo what there is.
+/// One step; numbers are taken modulo the number of choices.
 #[derive(Clone, Debug)]
 pub enum StepKind {
     Call { node: u8, key: u8, route: u8 },
-    Twins { one: u8, other: u8, key: u8 },
+    ConcurrentCalls { one: u8, other: u8, key: u8 },
     HangUp { call: u8 },
     Script { target: u8, script: u8 },
     Cut { one: u8, other: u8 },
     CutDomains,
-    JoinAll,
+    HealAll,
     CutPlatform { node: u8 },
-    PlatformAway { is_away: bool },
+    PlatformDown { is_down: bool },
     Network { quality: u8 },
     Kill { node: u8 },
     Restart { node: u8 },
     Freeze { node: u8 },
-    Thaw { node: u8 },
+    Resume { node: u8 },
     TopUp { tokens: u8 },
     Change,
     Drain { node: u8 },
     Unlist { node: u8 },
 }
 
-/// One step, and how long the fleet then runs.
+/// One step, and how long the fleet runs after it, in milliseconds.
 #[derive(Clone, Debug)]
 pub struct FleetStep {
     pub kind: StepKind,
@@ -42,7 +42,7 @@
 }
 
 impl FleetStep {
-    /// Draws a step.
+    /// Draws a random step.
     pub fn draw(random: &mut impl Rng) -> Self {
         let (a, b, c) = (random.random(), random.random(), random.random());
         let kind = match random.random_range(0..100) {
@@ -51,7 +51,7 @@
                 key: b,
                 route: c,
             },
-            36..=41 => StepKind::Twins {
+            36..=41 => StepKind::ConcurrentCalls {
                 one: a,
                 other: b,
                 key: c,
@@ -63,14 +63,14 @@
             },
             52..=55 => StepKind::Cut { one: a, other: b },
             56..=57 => StepKind::CutDomains,
-            58..=60 => StepKind::JoinAll,
+            58..=60 => StepKind::HealAll,
             61..=63 => StepKind::CutPlatform { node: a },
-            64..=68 => StepKind::PlatformAway { is_away: a < 64 },
+            64..=68 => StepKind::PlatformDown { is_down: a < 64 },
             69..=72 => StepKind::Network { quality: a & b },
             73..=75 => StepKind::Kill { node: a },
             76..=79 => StepKind::Restart { node: a },
             80..=83 => StepKind::Freeze { node: a },
-            84..=88 => StepKind::Thaw { node: a },
+            84..=88 => StepKind::Resume { node: a },
             89..=92 => StepKind::TopUp { tokens: a },
             93 => StepKind::Change,
             94..=95 => StepKind::Drain { node: a },
@@ -91,7 +91,7 @@
 }
 
 impl FaultFleet {
-    /// Takes a step and lets the fleet run.
+    /// Carries out a step and runs the fleet.
     pub fn step(&mut self, step: &FleetStep) {
         self.take_step(&step.kind);
         self.run(step.run_ms);
@@ -100,7 +100,7 @@
     fn take_step(&mut self, kind: &StepKind) {
         match *kind {
             StepKind::Call { node, key, route } => self.call_step(node_of(node), key, route),
-            StepKind::Twins { one, other, key } => {
+            StepKind::ConcurrentCalls { one, other, key } => {
                 let key: KeyText = format!("twin-{}", key % 8).as_str().into();
                 for node in [one, other] {
                     self.call(node_of(node), false, Some(false), Some(key.clone()));
@@ -110,15 +110,15 @@
             StepKind::Script { target, script } => self.set_script(target, script),
             StepKind::Cut { one, other } => self.network.toggle(node_of(one), node_of(other)),
             StepKind::CutDomains => self.cut_domains(),
-            StepKind::JoinAll => {
+            StepKind::HealAll => {
                 self.network.cuts.clear();
                 self.network.platform_cuts.clear();
             }
             StepKind::CutPlatform { node } => {
                 self.network.platform_cuts.insert(node_of(node));
             }
-            StepKind::PlatformAway { is_away } => {
-                self.network.is_platform_away = is_away;
+            StepKind::PlatformDown { is_down } => {
+                self.network.is_platform_down = is_down;
                 self.answer_watches();
             }
             StepKind::Network { quality } => self.set_quality(quality),
@@ -129,15 +129,16 @@
                 self.freeze_count += 1;
                 self.nodes[node].is_frozen = self.nodes[node].is_alive();
             }
-            StepKind::Thaw { node } => self.thaw(node_of(node)),
+            StepKind::Resume { node } => self.resume(node_of(node)),
             StepKind::TopUp { tokens } => {
-                let id = format!("top-up-{}", self.parcel_count);
+                let id = format!("top-up-{}", self.envelope_count);
                 self.store.top_up(&id, u64::from(tokens) * 2);
                 self.answer_watches();
             }
             StepKind::Change => self.change_catalogue(),
             StepKind::Unlist { node } => {
-                // The platform takes the host for gone, whether its process runs, stands or is dead.
+                // The platform treats the host as gone, whether its process runs, is frozen or is
+                // dead.
                 self.freeze_count += 1;
                 self.nodes[node_of(node)].is_listed = false;
                 self.list_hosts();
@@ -156,7 +157,7 @@
         let is_once = route % 8 == 4 || route % 8 == 3;
         let repeatable = is_once.then_some(false);
         let kind = if is_chat { "chat" } else { "notify" };
-        // A key always comes with the same request.
+        // Equal keys always come with equal requests.
         let key = match is_once {
             true => Some(format!("once-{kind}-{}", key % 32).as_str().into()),
             false if !key.is_multiple_of(4) => Some(format!("{kind}-{}", key % 64).as_str().into()),
@@ -165,7 +166,7 @@
         self.call(node, is_chat, repeatable, key);
     }
 
-    /// Changes what one target does, or what all targets of a domain do.
+    /// Sets the script of one target, or of all targets of a domain.
     fn set_script(&mut self, target: u8, script: u8) {
         let targets = ["engine-1", "engine-2", "notify-1", "notify-2"];
         let domain = super::DOMAINS[usize::from(target / 4) % super::DOMAINS.len()];
@@ -193,7 +194,7 @@
         let network = &mut self.network;
         let bad = |bit: u8, value: u32| if quality & bit == 0 { 0 } else { value };
         network.loss_permille = bad(1, 100);
-        network.double_permille = bad(2, 100);
+        network.duplicate_permille = bad(2, 100);
         network.delay_ms = u64::from(bad(4, 400));
         network.lost_answer_permille = bad(8, 150);
         network.late_write_permille = bad(16, 100);
@@ -204,9 +205,9 @@
             return;
         }
         self.kill_count += 1;
-        self.lose_callers(node);
+        self.drop_callers(node);
         self.nodes[node].core = None;
-        // The list lags: a host that is replaced at once never leaves it.
+        // The list lags: a host that is replaced at once stays listed.
         if self.chance(500) {
             self.nodes[node].is_listed = false;
             self.list_hosts();
@@ -218,7 +219,7 @@
         self.start(node);
     }
 
-    pub(super) fn thaw(&mut self, node: usize) {
+    pub(super) fn resume(&mut self, node: usize) {
         self.nodes[node].is_frozen = false;
         let held = std::mem::take(&mut self.nodes[node].held);
         for event in held {
--- a/crates/beechsaddle-core/tests/fault_fleet/mod.rs
+++ b/crates/beechsaddle-core/tests/fault_fleet/mod.rs
@@ -1,10 +1,11 @@
-//! The `fault_fleet` module provides whole routers of two domains on a faulty network and platform.
+//! The `fault_fleet` module provides whole routers of two domains with a faulty network and
+//! platform.
 
 #![allow(dead_code, unused_imports, reason = "each test file uses a part")]
 
-mod call_book;
+mod call_log;
+mod fault_envelope;
 mod fault_network;
-mod fault_parcel;
 mod fault_store;
 mod fleet_callers;
 mod fleet_checks;
@@ -24,25 +25,25 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::fleet_setup::{first_change, router_record, target_record};
-use call_book::CallBook;
+use call_log::CallLog;
+use fault_envelope::{FaultEnvelope, WaitingWatch};
 use fault_network::FaultNetwork;
-use fault_parcel::{FaultParcel, WaitingWatch};
 use fault_store::FaultStore;
 use fleet_node::{DOMAINS, FleetNode};
 use target_script::TargetScript;
 
 pub use fleet_step::{FleetStep, StepKind};
 
-/// Routers of the fleet.
+/// The number of routers.
 const NODES: usize = 5;
 
-/// Events, clocks aside, that one tick may bring; more means that routers answer without end.
-const EVENTS_MAX: u32 = 2_000;
+/// The maximum number of events per tick, without ticks; more means an endless exchange of replies.
+const MAX_EVENTS: u32 = 2_000;
 
-/// The most tokens that the budget has at first; a call reserves up to 200.
+/// The maximum of the first top-up, in tokens; a call reserves up to 200.
 const FIRST_TOP_UP: u64 = 2_000;
 
-/// The fleet, its surroundings, and what was found wrong.
+/// The fleet, its environment, and the violations found.
 pub struct FaultFleet {
     pub now: ClockTime,
     pub faults: Vec<String>,
@@ -52,20 +53,20 @@
     store: FaultStore,
     watches: Vec<WaitingWatch>,
     scripts: BTreeMap<TargetName, TargetScript>,
-    book: CallBook,
-    parcels: BTreeMap<(ClockTime, u64), FaultParcel>,
-    parcel_count: u64,
+    call_log: CallLog,
+    envelopes: BTreeMap<(ClockTime, u64), FaultEnvelope>,
+    envelope_count: u64,
     call_count: u64,
     change_count: u64,
     kill_count: u64,
     freeze_count: u64,
-    /// The tick that is counted, and its events.
-    busy: (u64, u32),
+    /// The counted tick, and its number of events.
+    tick_events: (u64, u32),
     random: ChaCha8Rng,
 }
 
 impl FaultFleet {
-    /// A fleet that has started.
+    /// Creates a fleet and starts it.
     pub fn new(seed: u64) -> Self {
         let mut fleet = FaultFleet {
             now: ClockTime::from_millis(1_000_000),
@@ -76,14 +77,14 @@
             store: FaultStore::default(),
             watches: Vec::new(),
             scripts: BTreeMap::new(),
-            book: CallBook::default(),
-            parcels: BTreeMap::new(),
-            parcel_count: 0,
+            call_log: CallLog::default(),
+            envelopes: BTreeMap::new(),
+            envelope_count: 0,
             call_count: 0,
             change_count: 1,
             kill_count: 0,
             freeze_count: 0,
-            busy: (0, 0),
+            tick_events: (0, 0),
             random: ChaCha8Rng::seed_from_u64(seed),
         };
         let change = first_change();
@@ -100,30 +101,30 @@
         fleet
     }
 
-    /// Lets time pass.
+    /// Advances time and delivers due envelopes.
     pub fn run(&mut self, span_ms: u64) {
         let end = self.now.plus_ms(span_ms);
-        while let Some(entry) = self.parcels.first_entry() {
+        while let Some(entry) = self.envelopes.first_entry() {
             let (time, _) = *entry.key();
             if time > end {
                 break;
             }
-            let parcel = entry.remove();
+            let envelope = entry.remove();
             self.now = self.now.max(time);
-            self.deliver(parcel);
+            self.deliver(envelope);
         }
         self.now = end;
     }
 
-    fn send(&mut self, delay_ms: u64, parcel: FaultParcel) {
-        self.parcel_count += 1;
+    fn send(&mut self, delay_ms: u64, envelope: FaultEnvelope) {
+        self.envelope_count += 1;
         let time = self.now.plus_ms(delay_ms);
-        self.parcels.insert((time, self.parcel_count), parcel);
+        self.envelopes.insert((time, self.envelope_count), envelope);
     }
 
     fn send_event(&mut self, delay_ms: u64, node: usize, event: CoreEvent) {
         let epoch = self.nodes[node].name.epoch;
-        self.send(delay_ms, FaultParcel::Event { node, epoch, event });
+        self.send(delay_ms, FaultEnvelope::Event { node, epoch, event });
     }
 
     fn chance(&mut self, permille: u32) -> bool {
@@ -139,16 +140,16 @@
         host.is_alive() && host.name.epoch == epoch
     }
 
-    fn deliver(&mut self, parcel: FaultParcel) {
-        match parcel {
-            FaultParcel::Clock { node, epoch } if self.is_current(node, epoch) => {
-                self.send(TICK_MS, FaultParcel::Clock { node, epoch });
+    fn deliver(&mut self, envelope: FaultEnvelope) {
+        match envelope {
+            FaultEnvelope::Clock { node, epoch } if self.is_current(node, epoch) => {
+                self.send(TICK_MS, FaultEnvelope::Clock { node, epoch });
                 if !self.nodes[node].is_frozen {
                     self.handle(node, CoreEvent::Tick);
                 }
                 self.expire_watches();
             }
-            FaultParcel::Event { node, epoch, event } if self.is_current(node, epoch) => {
+            FaultEnvelope::Event { node, epoch, event } if self.is_current(node, epoch) => {
                 self.count_event();
                 if self.nodes[node].is_frozen {
                     self.nodes[node].held.push_back(event);
@@ -156,31 +157,31 @@
                     self.take(node, event);
                 }
             }
-            FaultParcel::Clock { .. } | FaultParcel::Event { .. } => {}
-            FaultParcel::Land {
+            FaultEnvelope::Clock { .. } | FaultEnvelope::Event { .. } => {}
+            FaultEnvelope::CallArrived {
                 node,
                 epoch,
                 ticket,
                 call,
                 is_answered,
-            } => self.land(node, epoch, ticket, call, is_answered),
-            FaultParcel::Retry { call } => self.retry(&call),
+            } => self.on_call_arrived(node, epoch, ticket, call, is_answered),
+            FaultEnvelope::Retry { call } => self.retry(&call),
         }
     }
 
     fn count_event(&mut self) {
         let tick = self.now.as_millis() / TICK_MS;
-        if self.busy.0 != tick {
-            self.busy = (tick, 0);
+        if self.tick_events.0 != tick {
+            self.tick_events = (tick, 0);
         }
-        self.busy.1 += 1;
-        if self.busy.1 == EVENTS_MAX {
+        self.tick_events.1 += 1;
+        if self.tick_events.1 == MAX_EVENTS {
             self.faults
-                .push(format!("{EVENTS_MAX} events in one tick at {}", self.now));
+                .push(format!("{MAX_EVENTS} events in one tick at {}", self.now));
         }
     }
 
-    /// Hands an event to a router after the edge did its part of it.
+    /// Delivers an event to a router after the edge's part is done.
     fn take(&mut self, node: usize, event: CoreEvent) {
         if let CoreEvent::Call(call_event) = &event
             && !self.relay(call_event)
@@ -217,11 +218,11 @@
         self.nodes[node].start(seeds);
         let epoch = self.nodes[node].name.epoch;
         self.list_hosts();
-        self.send(0, FaultParcel::Clock { node, epoch });
+        self.send(0, FaultEnvelope::Clock { node, epoch });
         self.send_event(0, node, CoreEvent::Started);
     }
 
-    /// Brings the platform's lists up to date.
+    /// Updates the platform's host lists.
     fn list_hosts(&mut self) {
         for domain in DOMAINS {
             let name = DomainName::from(domain);
--- a/crates/beechsaddle-core/tests/fault_fleet/target_script.rs
+++ b/crates/beechsaddle-core/tests/fault_fleet/target_script.rs
@@ -1,30 +1,29 @@
-//! The `target_script` module provides what targets do with the calls that reach them.
+//! The `target_script` module provides the behaviour of targets.
 
 use beechsaddle_core::call::{AnswerEnd, AttemptFailure, CallEvent, TokenUsage};
 use beechsaddle_core::prelude::*;
 
-/// What a target does with a call.
+/// The behaviour of a target for a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TargetScript {
     /// Answers at once.
     #[default]
     Answer,
-    /// Streams for seconds.
+    /// Streams for several seconds.
     Stream,
-    /// Takes no connection.
+    /// Accepts no connection.
     Closed,
     /// Breaks the connection before the first byte.
     Lose,
-    /// Says that it is overloaded; the outcome of a call that may run once only.
+    /// Reports overload; for a not-repeatable call this is its outcome.
     Busy,
-    /// Breaks the connection within the answer.
+    /// Breaks the connection in the middle of the answer.
     Break,
     /// Never answers.
     Hang,
 }
 
 impl TargetScript {
-    /// Every script.
     pub const ALL: [TargetScript; 7] = [
         TargetScript::Answer,
         TargetScript::Stream,
@@ -35,7 +34,7 @@
         TargetScript::Hang,
     ];
 
-    /// What the edge tells of an attempt, each with its delay in milliseconds.
+    /// Returns the edge's events of an attempt, each with its delay in milliseconds.
     pub fn events(
         self,
         attempt: &AttemptId,
@@ -61,7 +60,7 @@
     }
 }
 
-/// An answer in three parts with a pause before each.
+/// Returns an answer in three parts with a pause before each.
 fn answer(
     attempt: &AttemptId,
     usage: TokenUsage,
--- a/crates/beechsaddle-core/tests/fleet_setup/mod.rs
+++ b/crates/beechsaddle-core/tests/fleet_setup/mod.rs
@@ -10,11 +10,11 @@
     CatalogueChange, CatalogueEntry, CatalogueOptions, EntryClass, EntryEdit, EntryHeader,
     EntryLimits, ModelEntry, ServiceEntry, ServiceKind, WorkspaceEntry,
 };
+use beechsaddle_core::dedup::DedupOptions;
 use beechsaddle_core::members::{
     HostList, HostRecord, HostRole, HostState, MemberOptions, SeedPeer,
 };
 use beechsaddle_core::objects::FleetLayout;
-use beechsaddle_core::once::OnceOptions;
 use beechsaddle_core::orders::OrderOptions;
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::router::{RouterCore, RouterOptions};
@@ -75,9 +75,9 @@
             shard_count: 1,
             ..AccountingOptions::default()
         },
-        once: OnceOptions {
+        dedup: DedupOptions {
             shard_count: 1,
-            ..OnceOptions::default()
+            ..DedupOptions::default()
         },
         members: MemberOptions {
             seeds,
--- a/crates/beechsaddle-core/tests/members_spread.rs
+++ b/crates/beechsaddle-core/tests/members_spread.rs
@@ -3,7 +3,7 @@
 mod members_support;
 
 use beechsaddle_core::members::MemberManager;
-use beechsaddle_core::peer::{RouterNews, RouterState};
+use beechsaddle_core::peer::{RouterState, RouterUpdate};
 use beechsaddle_core::platform::PlatformReply;
 use beechsaddle_core::prelude::*;
 
@@ -190,8 +190,8 @@
     assert_eq!(hosts, expected);
 }
 
-fn update_of(router: &RouterIncarnation, domain: &str) -> RouterNews {
-    RouterNews {
+fn update_of(router: &RouterIncarnation, domain: &str) -> RouterUpdate {
+    RouterUpdate {
         router: router.clone(),
         domain: DomainName::new(domain),
         address: members_support::address(router.host.as_str()),
--- a/crates/beechsaddle-core/tests/once_explore.rs
+++ b/crates/beechsaddle-core/tests/once_explore.rs
@@ -1,28 +1,27 @@
-//! Every interleaving, within bounds, of two calls with one key through two routers.
+//! Explores every interleaving, within bounds, of two calls with one key through two routers.
 //!
-//! Each router's clock goes its own way in steps, so that a router that lags or is frozen is among
-//! the cases. Messages and platform calls arrive in any order.
+//! Each router's clock advances in independent steps, so that lagging and frozen routers are
+//! covered. Messages and platform calls arrive in any order.
 
 mod once_support;
 
 use std::collections::{BTreeSet, VecDeque};
 
+use beechsaddle_core::dedup::DedupOptions;
 use beechsaddle_core::hash::stable_hash;
 use beechsaddle_core::objects::PlatformObject;
-use beechsaddle_core::once::OnceOptions;
-use once_support::{NOBODY, OnceBench, Parcel, key};
+use once_support::{DedupBench, Envelope, NO_ROUTER, key};
 
-/// How far one step of a router's clock goes, in milliseconds: more than `handover_ms`, and two of
-/// them are `record_timeout_ms`.
+/// One clock step in milliseconds: more than `handover_ms`, and two steps are `record_timeout_ms`.
 const STEP_MS: u64 = 750;
 
-/// How many routers there are, each of which takes one call.
+/// The number of routers, each of which takes one call.
 const ROUTERS: usize = 2;
 
-/// What may go wrong, and how long.
+/// Limits of the clock steps and faults.
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
-    /// How many steps the clock of each router goes.
+    /// The number of clock steps of each router.
     clock_steps: [u64; ROUTERS],
     losses: u8,
     crashes: u8,
@@ -30,24 +29,24 @@
     forgets: bool,
 }
 
-/// A bench, what went wrong on it, and digests of its larger parts.
+/// A bench, its fault counts, and digests of its larger parts.
 #[derive(Clone)]
 struct World {
-    bench: OnceBench,
+    bench: DedupBench,
     losses: u8,
     crashes: u8,
-    desks: [u64; ROUTERS],
+    managers: [u64; ROUTERS],
     store: u64,
 }
 
-/// One thing that can happen next.
+/// A possible next step.
 #[derive(Clone, Copy, Debug)]
 enum Move {
     Deliver(usize),
-    /// A call takes effect and its answer is lost.
+    /// A call takes effect and its reply is lost.
     LoseAnswer(usize),
-    /// A call's answer is given up while the call is on its way.
-    GiveUp(usize),
+    /// A call times out while it is in flight.
+    TimeOut(usize),
     /// A message between routers is lost.
     LoseMessage(usize),
     Tick(usize),
@@ -56,11 +55,11 @@
 
 impl World {
     fn first(bounds: Bounds) -> Self {
-        let options = OnceOptions {
+        let options = DedupOptions {
             shard_count: 1,
-            ..OnceOptions::default()
+            ..DedupOptions::default()
         };
-        let mut bench = OnceBench::new(options, &[("anis", "nord"), ("beifuss", "nord")]);
+        let mut bench = DedupBench::new(options, &[("anis", "nord"), ("beifuss", "nord")]);
         bench.is_recorded = false;
         bench.record_or_forget(0, &key("claim"), bounds.forgets);
         bench.record(1, &key("claim"));
@@ -68,27 +67,27 @@
             bench,
             losses: 0,
             crashes: 0,
-            desks: [0; ROUTERS],
+            managers: [0; ROUTERS],
             store: 0,
         };
-        (0..ROUTERS).for_each(|node| world.digest_desk(node));
+        (0..ROUTERS).for_each(|node| world.digest_manager(node));
         world
     }
 
     fn moves(&self, bounds: &Bounds) -> Vec<Move> {
         let mut moves = Vec::new();
-        for (index, parcel) in self.bench.parcels.iter().enumerate() {
+        for (index, envelope) in self.bench.envelopes.iter().enumerate() {
             moves.push(Move::Deliver(index));
             if self.losses >= bounds.losses {
                 continue;
             }
-            match parcel {
-                Parcel::Call { node, .. } if *node != NOBODY => {
+            match envelope {
+                Envelope::Call { node, .. } if *node != NO_ROUTER => {
                     moves.push(Move::LoseAnswer(index));
-                    moves.push(Move::GiveUp(index));
+                    moves.push(Move::TimeOut(index));
                 }
-                Parcel::Peer { .. } => moves.push(Move::LoseMessage(index)),
-                Parcel::Call { .. } | Parcel::Reply { .. } => {}
+                Envelope::Peer { .. } => moves.push(Move::LoseMessage(index)),
+                Envelope::Call { .. } | Envelope::Reply { .. } => {}
             }
         }
         for (number, node) in self.bench.nodes.iter().enumerate() {
@@ -113,13 +112,13 @@
                 self.bench.lose_answer(index);
                 self.digest_store();
             }
-            Move::GiveUp(index) => {
+            Move::TimeOut(index) => {
                 self.losses += 1;
-                self.bench.give_up_call(index);
+                self.bench.time_out_call(index);
             }
             Move::LoseMessage(index) => {
                 self.losses += 1;
-                self.bench.parcels.remove(index);
+                self.bench.envelopes.remove(index);
             }
             Move::Tick(node) => self.tick(node),
             Move::Crash(node) => {
@@ -132,58 +131,61 @@
     fn tick(&mut self, node: usize) {
         self.bench.nodes[node].clock_ahead_ms += STEP_MS;
         self.bench.tick(node);
-        self.digest_desk(node);
+        self.digest_manager(node);
     }
 
     fn deliver(&mut self, index: usize) {
-        let touched = match &self.bench.parcels[index] {
-            Parcel::Call { .. } => None,
-            Parcel::Reply { node, .. } => Some(*node),
-            Parcel::Peer { to, .. } => self.bench.nodes.iter().position(|node| node.me == *to),
+        let touched = match &self.bench.envelopes[index] {
+            Envelope::Call { .. } => None,
+            Envelope::Reply { node, .. } => Some(*node),
+            Envelope::Peer { to, .. } => self.bench.nodes.iter().position(|node| node.me == *to),
         };
         self.bench.deliver(index);
-        match touched.filter(|node| *node != NOBODY) {
-            Some(node) => self.digest_desk(node),
+        match touched.filter(|node| *node != NO_ROUTER) {
+            Some(node) => self.digest_manager(node),
             None => self.digest_store(),
         }
     }
 
-    fn digest_desk(&mut self, node: usize) {
-        self.desks[node] = stable_hash(format!("{:?}", self.bench.nodes[node].desk));
+    fn digest_manager(&mut self, node: usize) {
+        self.managers[node] = stable_hash(format!("{:?}", self.bench.nodes[node].manager));
     }
 
     fn digest_store(&mut self) {
         self.store = stable_hash(format!("{:?}", self.bench.store));
     }
 
-    /// Two worlds that differ in the order of what is on its way are the same.
+    /// Returns a digest that ignores the order of messages in flight.
     fn digest(&self) -> u64 {
         let bench = &self.bench;
-        let mut parcels: Vec<u64> = bench
-            .parcels
+        let mut envelopes: Vec<u64> = bench
+            .envelopes
             .iter()
-            .map(|parcel| stable_hash(format!("{parcel:?}")))
+            .map(|envelope| stable_hash(format!("{envelope:?}")))
             .collect();
-        parcels.sort_unstable();
+        envelopes.sort_unstable();
         let nodes: Vec<(bool, u64)> = bench
             .nodes
             .iter()
             .map(|node| (node.is_alive, node.clock_ahead_ms))
             .collect();
-        let parts = (&self.desks, self.store, &parcels, &nodes);
+        let parts = (&self.managers, self.store, &envelopes, &nodes);
         let faults = (self.losses, self.crashes);
         let ends = (&bench.dispatched, &bench.refused, &bench.outcomes);
         stable_hash(format!("{parts:?}{faults:?}{ends:?}"))
     }
 
-    /// Lets a world in which nothing more goes wrong come to rest, and checks that every call has
-    /// its outcome and that the key is free if nobody dispatched it.
+    /// Runs a world without further faults until it is idle. Checks that every call has its outcome
+    /// and that the key is free if no router dispatched it.
     fn check_end(mut self) {
         self.bench.run(8 * STEP_MS);
         self.bench.check().unwrap();
         for (number, node) in self.bench.nodes.iter().enumerate() {
             if node.is_alive {
-                assert!(self.bench.is_idle(number), "router {number} has no rest");
+                assert!(
+                    self.bench.is_idle(number),
+                    "router {number} does not become idle"
+                );
                 let has_outcome = |call: &_| self.bench.outcomes.contains_key(call);
                 let mut calls = self.bench.keys.keys().filter(|call| call.router == node.me);
                 assert!(calls.all(has_outcome), "router {number}");
@@ -196,14 +198,14 @@
             let taken = shard.records.iter().find(|record| !record.released);
             assert!(
                 taken.is_none(),
-                "nobody ran the key, and {taken:?} holds it"
+                "no router ran the key, and {taken:?} holds it"
             );
         }
     }
 }
 
-/// Visits every world within the bounds, or with the clock steps that `ONCE_CLOCK_STEPS` gives to
-/// both routers.
+/// Visits every world within the bounds; `ONCE_CLOCK_STEPS` overrides the clock steps of both
+/// routers.
 fn explore(mut bounds: Bounds) {
     if let Ok(steps) = std::env::var("ONCE_CLOCK_STEPS") {
         bounds.clock_steps = [steps.parse().expect("a number"); ROUTERS];
@@ -230,10 +232,9 @@
     println!("explored worlds={} {bounds:?}", seen.len());
 }
 
-// Both routers take a call with the same key; one answer or message is lost and one router is
-// killed, at any moment, while each may take over from the other. No world has two dispatches, or a
-// dispatch of a refused call; every world comes to rest with an outcome for each call of a living
-// router.
+// Guards against a double dispatch, and a dispatch of a refused call. Both routers take a call with
+// the same key; one reply or message is lost and one router is killed at any moment, while each may
+// take over from the other. Every call of a live router must get an outcome.
 #[test]
 fn explore_loss_and_crash() {
     explore(Bounds {
@@ -244,8 +245,8 @@
     });
 }
 
-// One answer or message is lost, and the first router gives its caller up, with whatever it sent
-// still on its way. The key must come free if nobody ran it.
+// Guards against a key that stays taken. One reply or message is lost, and the first router refuses
+// its call while its messages are still in flight. The key must become free if no router ran it.
 #[test]
 fn explore_loss_and_refusal() {
     explore(Bounds {
@@ -256,7 +257,7 @@
     });
 }
 
-// The same with the other router.
+// The same as above with the other router.
 #[test]
 fn explore_loss_and_refusal_of_other() {
     explore(Bounds {
@@ -267,7 +268,8 @@
     });
 }
 
-// The first router finds no target for its call. The key must come free whatever is lost.
+// Guards against a key that stays taken after the first router found no target for its call,
+// whichever message or reply is lost.
 #[test]
 fn explore_loss_and_forget() {
     explore(Bounds {
--- a/crates/beechsaddle-core/tests/once_interleavings.rs
+++ b/crates/beechsaddle-core/tests/once_interleavings.rs
@@ -1,36 +1,36 @@
-//! Random interleavings of calls, deliveries and failures around dedup records.
+//! Random interleavings of calls, deliveries and failures of dedup records.
 //!
-//! `ONCE_SEED=<seed> ONCE_TESTS=<count>` runs other ones; the seed is printed when one fails.
+//! `ONCE_SEED=<seed> ONCE_TESTS=<count>` selects other sessions; the seed is printed on failure.
 
 mod once_support;
 
-use beechsaddle_core::once::OnceOptions;
-use once_support::{OnceBench, Parcel, key};
+use beechsaddle_core::dedup::DedupOptions;
+use once_support::{DedupBench, Envelope, key};
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 
 /// The hosts: two domains, one of them with two routers.
 const HOSTS: [(&str, &str); 3] = [("anis", "nord"), ("beifuss", "nord"), ("dill", "sued")];
 
-/// How many keys the callers use.
+/// The number of distinct keys.
 const KEYS: u8 = 3;
 
-/// The seed and the number of sessions that CI runs.
+/// The seed and the number of sessions in CI.
 const SEED: u64 = 20;
 const TESTS: u64 = 400;
 
-/// How many steps a session has at most.
+/// The maximum number of steps in a session.
 const STEPS: usize = 120;
 
-/// One step of a session; numbers are taken modulo what there is.
+/// One step of a session; numbers are taken modulo the number of choices.
 #[derive(Clone, Debug)]
 enum SessionStep {
     Record { node: u8, key: u8, forgets: bool },
-    Deliver { parcel: u8 },
+    Deliver { envelope: u8 },
     DeliverAll,
-    LoseAnswer { parcel: u8 },
-    GiveUpCall { parcel: u8 },
-    LoseMessage { parcel: u8 },
-    DoubleMessage { parcel: u8 },
+    LoseAnswer { envelope: u8 },
+    TimeOutCall { envelope: u8 },
+    LoseMessage { envelope: u8 },
+    DuplicateMessage { envelope: u8 },
     PassTime { ticks: u8 },
     SetClock { node: u8, ahead_s: u8 },
     Cut,
@@ -39,30 +39,32 @@
     Resume { node: u8 },
     Kill { node: u8 },
     Restart { node: u8 },
-    Doubt { node: u8 },
+    Isolate { node: u8 },
     Introduce,
 }
 
 impl Arbitrary for SessionStep {
     fn arbitrary(random: &mut Gen) -> Self {
         let node = u8::arbitrary(random);
-        let parcel = u8::arbitrary(random);
+        let envelope = u8::arbitrary(random);
         match u8::arbitrary(random) % 40 {
             0..=7 => SessionStep::Record {
                 node,
-                key: parcel,
+                key: envelope,
                 forgets: u8::arbitrary(random).is_multiple_of(4),
             },
-            8..=17 => SessionStep::Deliver { parcel },
+            8..=17 => SessionStep::Deliver { envelope },
             18 => SessionStep::DeliverAll,
-            19..=20 => SessionStep::LoseAnswer { parcel },
-            21..=22 => SessionStep::GiveUpCall { parcel },
-            23 => SessionStep::LoseMessage { parcel },
-            24 => SessionStep::DoubleMessage { parcel },
-            25..=29 => SessionStep::PassTime { ticks: parcel % 32 },
+            19..=20 => SessionStep::LoseAnswer { envelope },
+            21..=22 => SessionStep::TimeOutCall { envelope },
+            23 => SessionStep::LoseMessage { envelope },
+            24 => SessionStep::DuplicateMessage { envelope },
+            25..=29 => SessionStep::PassTime {
+                ticks: envelope % 32,
+            },
             30 => SessionStep::SetClock {
                 node,
-                ahead_s: parcel,
+                ahead_s: envelope,
             },
             31 => SessionStep::Cut,
             32..=33 => SessionStep::Heal,
@@ -70,25 +72,25 @@
             35 => SessionStep::Resume { node },
             36 => SessionStep::Kill { node },
             37 => SessionStep::Restart { node },
-            38 => SessionStep::Doubt { node },
+            38 => SessionStep::Isolate { node },
             _ => SessionStep::Introduce,
         }
     }
 }
 
-/// A session under way.
+/// A running session.
 struct Session {
-    bench: OnceBench,
+    bench: DedupBench,
     has_killed: bool,
 }
 
 impl Session {
     fn new() -> Self {
-        let options = OnceOptions {
+        let options = DedupOptions {
             shard_count: 1,
-            ..OnceOptions::default()
+            ..DedupOptions::default()
         };
-        let mut bench = OnceBench::new(options, &HOSTS);
+        let mut bench = DedupBench::new(options, &HOSTS);
         bench.is_recorded = false;
         Session {
             bench,
@@ -99,8 +101,9 @@
     fn step(&mut self, step: &SessionStep) {
         let bench = &mut self.bench;
         let nodes = bench.nodes.len();
-        let parcels = bench.parcels.len();
-        let parcel_at = |parcel: &u8| (parcels > 0).then(|| usize::from(*parcel) % parcels.max(1));
+        let envelopes = bench.envelopes.len();
+        let envelope_at =
+            |envelope: &u8| (envelopes > 0).then(|| usize::from(*envelope) % envelopes.max(1));
         match step {
             SessionStep::Record { node, key, forgets } => {
                 let node = usize::from(*node) % nodes;
@@ -108,35 +111,35 @@
                     bench.record_or_forget(node, &key_number(*key), *forgets);
                 }
             }
-            SessionStep::Deliver { parcel } => {
-                if let Some(index) = parcel_at(parcel) {
+            SessionStep::Deliver { envelope } => {
+                if let Some(index) = envelope_at(envelope) {
                     bench.deliver(index);
                 }
             }
             SessionStep::DeliverAll => bench.deliver_all(),
-            SessionStep::LoseAnswer { parcel } => {
-                if let Some(index) = parcel_at(parcel) {
+            SessionStep::LoseAnswer { envelope } => {
+                if let Some(index) = envelope_at(envelope) {
                     bench.lose_answer(index);
                 }
             }
-            SessionStep::GiveUpCall { parcel } => {
-                if let Some(index) = parcel_at(parcel) {
-                    bench.give_up_call(index);
+            SessionStep::TimeOutCall { envelope } => {
+                if let Some(index) = envelope_at(envelope) {
+                    bench.time_out_call(index);
                 }
             }
-            SessionStep::LoseMessage { parcel } => {
-                if let Some(index) = parcel_at(parcel)
-                    && matches!(bench.parcels[index], Parcel::Peer { .. })
+            SessionStep::LoseMessage { envelope } => {
+                if let Some(index) = envelope_at(envelope)
+                    && matches!(bench.envelopes[index], Envelope::Peer { .. })
                 {
-                    bench.parcels.remove(index);
+                    bench.envelopes.remove(index);
                 }
             }
-            SessionStep::DoubleMessage { parcel } => {
-                if let Some(index) = parcel_at(parcel)
-                    && matches!(bench.parcels[index], Parcel::Peer { .. })
+            SessionStep::DuplicateMessage { envelope } => {
+                if let Some(index) = envelope_at(envelope)
+                    && matches!(bench.envelopes[index], Envelope::Peer { .. })
                 {
-                    let doubled = bench.parcels[index].clone();
-                    bench.parcels.push(doubled);
+                    let duplicate = bench.envelopes[index].clone();
+                    bench.envelopes.push(duplicate);
                 }
             }
             SessionStep::PassTime { ticks } => {
@@ -163,13 +166,13 @@
                     bench.restart(node);
                 }
             }
-            SessionStep::Doubt { node } => bench.doubt_members(usize::from(*node) % nodes),
+            SessionStep::Isolate { node } => bench.isolate(usize::from(*node) % nodes),
             SessionStep::Introduce => bench.introduce(),
         }
     }
 
-    /// Ends all failures, and checks that every call got its outcome and every key that did not
-    /// run can run.
+    /// Ends all faults, and checks that every call got its outcome and every key that did not run
+    /// can run.
     fn conclude(&mut self) -> Result<(), String> {
         let bench = &mut self.bench;
         bench.is_cut = false;
@@ -184,7 +187,7 @@
         bench.check()?;
         for node in 0..bench.nodes.len() {
             if !bench.is_idle(node) {
-                return Err(format!("router {node} does not come to rest"));
+                return Err(format!("router {node} does not become idle"));
             }
         }
         for call in bench.keys.keys() {
@@ -193,8 +196,7 @@
                 return Err(format!("{call} got no outcome"));
             }
         }
-        // A router that died takes with it the knowledge of what it dispatched: its keys stay
-        // taken, which is what the record is for.
+        // A router that died cannot release its records, so its keys stay taken, as intended.
         if self.has_killed {
             return Ok(());
         }
@@ -237,9 +239,9 @@
     std::env::var(variable).map_or(default, |text| text.parse().expect("a number"))
 }
 
-// Callers send a few keys through three routers again and again while messages, answers, routers
-// and the platform fail in random order. No key is dispatched twice, and no call that was refused
-// as not run is dispatched; when all is well again, a key that never ran can run.
+// Callers repeatedly send a few keys through three routers while messages, replies, routers and the
+// platform fail in random order. No key is dispatched twice, and no call that was refused as not
+// run is dispatched; after all faults end, a key that never ran can run.
 #[test]
 fn interleavings_random() {
     let seed = number_from("ONCE_SEED", SEED);
--- a/crates/beechsaddle-core/tests/once_sessions.rs
+++ b/crates/beechsaddle-core/tests/once_sessions.rs
@@ -1,20 +1,20 @@
-//! Golden sessions of dedup records under failure. `UPDATE_GOLDEN=1` writes the files anew.
+//! Golden sessions of dedup records under faults. `UPDATE_GOLDEN=1` rewrites the files.
 
 mod once_support;
 
-use beechsaddle_core::once::OnceOptions;
+use beechsaddle_core::dedup::DedupOptions;
 use beechsaddle_core::prelude::*;
-use once_support::{OnceBench, check_golden, is_write, key};
+use once_support::{DedupBench, check_golden, is_write, key};
 
-/// How long these sessions keep records, in milliseconds.
+/// The retention of records in these sessions, in milliseconds.
 const RETENTION_MS: u64 = 20 * 60 * 1_000;
 
-/// Two domains with two routers each, one shard.
-fn two_domains() -> OnceBench {
-    let options = OnceOptions {
+/// Creates two domains with two routers each, and one shard.
+fn two_domains() -> DedupBench {
+    let options = DedupOptions {
         shard_count: 1,
         retention_ms: RETENTION_MS,
-        ..OnceOptions::default()
+        ..DedupOptions::default()
     };
     let hosts = [
         ("anis", "nord"),
@@ -22,27 +22,27 @@
         ("dill", "sued"),
         ("estragon", "sued"),
     ];
-    OnceBench::new(options, &hosts)
+    DedupBench::new(options, &hosts)
 }
 
-/// A router of domain `nord` that has to ask the other one to commit `key`, and that other one.
-fn asker_and_committer(bench: &OnceBench, key: &RequestKey) -> (usize, usize) {
-    let committer = bench.picked(0, key);
+/// Returns a router of domain `nord` that does not commit `key` itself, and the committer.
+fn requester_and_committer(bench: &DedupBench, key: &RequestKey) -> (usize, usize) {
+    let committer = bench.committer(0, key);
     (1 - committer, committer)
 }
 
-fn dispatches(bench: &OnceBench, key: &RequestKey) -> usize {
+fn dispatches(bench: &DedupBench, key: &RequestKey) -> usize {
     bench.dispatched.get(key).map_or(0, Vec::len)
 }
 
-fn refusal_of(bench: &OnceBench, call: &CallId) -> (RefusalReason, RanState) {
+fn refusal_of(bench: &DedupBench, call: &CallId) -> (RefusalReason, RanState) {
     let refusal = &bench.refused[call];
     (refusal.reason, refusal.ran)
 }
 
-// A caller retries at once through the balancer: one key reaches routers of two domains in the same
-// millisecond, and both committers read the shard before either writes. The store takes one of the
-// two writes; the other router reads again, finds the key taken, and tells its caller so.
+// A client retries through the load balancer: one key reaches routers of two domains in the same
+// millisecond, and both committers read the shard before either writes. Only one write may succeed;
+// the other router reads again, finds the key taken and refuses its call.
 #[test]
 fn record_same_key_in_two_domains() {
     let mut bench = two_domains();
@@ -63,15 +63,15 @@
     check_golden("once_two_domains", &bench.transcript);
 }
 
-// The write of the record takes effect, its answer is lost. The caller waits a little longer and
-// gets its call dispatched once: the committer reads the shard back and finds its own record there.
-// The same key through the other domain is told that it was dispatched.
+// The write of a record succeeds but its reply is lost. The committer must find its own record when
+// it reads the shard again, and the call is dispatched once. A call with the same key in the other
+// domain is refused as already dispatched.
 #[test]
 fn record_answer_lost() {
     let mut bench = two_domains();
     let claim = key("claim-18");
-    let (asker, _) = asker_and_committer(&bench, &claim);
-    let first = bench.record(asker, &claim);
+    let (requester, _) = requester_and_committer(&bench, &claim);
+    let first = bench.record(requester, &claim);
     bench.lose_next_write_answer();
     bench.run(200);
     bench.check().unwrap();
@@ -84,15 +84,15 @@
     check_golden("once_answer_lost", &bench.transcript);
 }
 
-// The committer makes the record durable and is killed before it tells the entry router. The caller
-// sees a short delay: the entry router asks the platform itself, finds the record in its own name,
-// and dispatches. Without the look it would have to refuse a call whose key is spent.
+// The committer is killed between the durable write and its reply. The entry router must find the
+// record under its own name on the platform and dispatch, rather than refuse a call whose key is
+// taken.
 #[test]
 fn record_committer_killed_before_reply() {
     let mut bench = two_domains();
     let claim = key("claim-19");
-    let (asker, committer) = asker_and_committer(&bench, &claim);
-    let call = bench.record(asker, &claim);
+    let (requester, committer) = requester_and_committer(&bench, &claim);
+    let call = bench.record(requester, &claim);
     bench.deliver(0);
     while dispatches(&bench, &claim) == 0 && bench.store.get("dedup/0").is_none() {
         bench.deliver(0);
@@ -104,19 +104,19 @@
     check_golden("once_committer_killed", &bench.transcript);
 }
 
-// The request to the committer and every call of the entry router on the platform hang. The caller
-// is refused, "not run". Then all of it arrives: the record is made after the refusal. It must not
-// lead to a dispatch, and the caller's retry through another domain must not find the key spent.
+// The request to the committer and all platform calls of the entry router hang, and the call is
+// refused as not run. Then all of them arrive. The late record must not lead to a dispatch, and a
+// retry through another domain must find the key free.
 #[test]
 fn record_late_after_refusal() {
     let mut bench = two_domains();
     let claim = key("claim-20");
-    let (asker, committer) = asker_and_committer(&bench, &claim);
-    let call = bench.record(asker, &claim);
+    let (requester, committer) = requester_and_committer(&bench, &claim);
+    let call = bench.record(requester, &claim);
     bench.freeze(committer);
     for _ in 0..31 {
         bench.now = bench.now.plus_ms(50);
-        bench.tick(asker);
+        bench.tick(requester);
     }
     let expected = (RefusalReason::RecordUnavailable, RanState::No);
     assert_eq!(refusal_of(&bench, &call), expected);
@@ -124,7 +124,7 @@
     bench.run(500);
     bench.check().unwrap();
     assert_eq!(dispatches(&bench, &claim), 0);
-    assert!(bench.is_idle(asker));
+    assert!(bench.is_idle(requester));
     let retry = bench.record(2, &claim);
     bench.run(200);
     bench.check().unwrap();
@@ -132,26 +132,26 @@
     check_golden("once_late_record", &bench.transcript);
 }
 
-// The committer's write is still on its way when its answer is given up, and then the platform is
-// cut off. The caller is refused, "not run". The write arrives after that. Only the entry router can
-// release the record, so the committer must not let it believe that there is none.
+// The committer's write times out while it is in flight, then the platform is cut off and the call
+// is refused as not run. The write arrives later. Only the entry router can release the record, so
+// the committer's reply must not imply that there is none.
 #[test]
 fn record_write_arrives_after_refusal() {
     let mut bench = two_domains();
     let claim = key("claim-33");
-    let (asker, _) = asker_and_committer(&bench, &claim);
-    let call = bench.record(asker, &claim);
-    while !bench.parcels.iter().any(is_write) {
+    let (requester, _) = requester_and_committer(&bench, &claim);
+    let call = bench.record(requester, &claim);
+    while !bench.envelopes.iter().any(is_write) {
         bench.deliver(0);
     }
-    bench.give_up_call(0);
-    let write = bench.parcels.remove(0);
+    bench.time_out_call(0);
+    let write = bench.envelopes.remove(0);
     bench.is_cut = true;
     bench.run(600);
     let expected = (RefusalReason::RecordUnavailable, RanState::No);
     assert_eq!(refusal_of(&bench, &call), expected);
     bench.is_cut = false;
-    bench.parcels.push(write);
+    bench.envelopes.push(write);
     bench.run(1_100);
     let retry = bench.record(2, &claim);
     bench.run(200);
@@ -159,15 +159,15 @@
     assert_eq!(bench.dispatched[&claim], vec![retry]);
 }
 
-// The committer is frozen with the shard read and the record not yet written, until long after the
-// caller was served through the entry router itself. Nobody waits for the record any more: going on
-// with it would cost a write and a conflict, and for a key that is free again it would spend it.
+// The committer is frozen between the read of the shard and the write, until the entry router has
+// committed the record itself. The expired record must not be written: that would cost a write and
+// a conflict, and would take a key that is free again.
 #[test]
 fn record_overdue_not_written() {
     let mut bench = two_domains();
     let claim = key("claim-34");
-    let (asker, committer) = asker_and_committer(&bench, &claim);
-    let call = bench.record(asker, &claim);
+    let (requester, committer) = requester_and_committer(&bench, &claim);
+    let call = bench.record(requester, &claim);
     bench.deliver(0);
     bench.deliver(0);
     bench.freeze(committer);
@@ -175,26 +175,26 @@
     assert_eq!(bench.dispatched[&claim], vec![call]);
     bench.resume(committer);
     bench.deliver(0);
-    assert!(bench.parcels.is_empty(), "{:?}", bench.parcels);
+    assert!(bench.envelopes.is_empty(), "{:?}", bench.envelopes);
 }
 
-// The platform was away for committer and entry router, and the caller was refused, "not run". Then
-// the network delivers the request to the committer a second time, and the record is made. The
-// answer is all that the entry router learns of it; it gives the key up, and the retry runs.
+// The platform was unreachable and the call was refused as not run. Then the network delivers the
+// request to the committer a second time, and the record is created. The entry router must release
+// it on the reply, so that a retry can run.
 #[test]
-fn record_request_doubled_after_refusal() {
+fn record_request_duplicated_after_refusal() {
     let mut bench = two_domains();
     let claim = key("claim-32");
-    let (asker, _) = asker_and_committer(&bench, &claim);
+    let (requester, _) = requester_and_committer(&bench, &claim);
     bench.is_cut = true;
-    let call = bench.record(asker, &claim);
-    let doubled = bench.parcels[0].clone();
+    let call = bench.record(requester, &claim);
+    let duplicate = bench.envelopes[0].clone();
     bench.deliver_all();
     let expected = (RefusalReason::RecordUnavailable, RanState::No);
     assert_eq!(refusal_of(&bench, &call), expected);
     bench.is_cut = false;
     bench.run(1_100);
-    bench.parcels.push(doubled);
+    bench.envelopes.push(duplicate);
     bench.run(500);
     bench.check().unwrap();
     let retry = bench.record(2, &claim);
@@ -203,22 +203,22 @@
     assert_eq!(bench.dispatched[&claim], vec![retry]);
 }
 
-// The entry router is frozen with the good news already in its inbox, for longer than a record is
-// kept. Meanwhile the record expired and another call ran the key. When the router goes on it reads
-// the old answer first; acting upon it would run the key a second time.
+// The entry router is frozen with a successful reply unread for longer than the retention.
+// Meanwhile the record expired and another call ran the key. A dispatch on the old reply would run
+// the key a second time.
 #[test]
 fn record_answer_read_after_freeze() {
     let mut bench = two_domains();
     let claim = key("claim-21");
-    let (asker, committer) = asker_and_committer(&bench, &claim);
-    let call = bench.record(asker, &claim);
+    let (requester, committer) = requester_and_committer(&bench, &claim);
+    let call = bench.record(requester, &claim);
     bench.deliver(0);
-    bench.freeze(asker);
+    bench.freeze(requester);
     bench.run(RETENTION_MS + 1_000);
     let other = bench.record(committer, &claim);
     bench.run(200);
     assert_eq!(bench.dispatched[&claim], vec![other]);
-    bench.resume(asker);
+    bench.resume(requester);
     bench.deliver_all();
     bench.run(200);
     bench.check().unwrap();
@@ -226,20 +226,20 @@
     assert_eq!(refusal_of(&bench, &call), expected);
 }
 
-// The platform is cut off. The first caller is refused as soon as the connection fails, the next
-// ones without a call on the platform, all with a time to come back. After the outage the same key
-// runs: nothing was written for it.
+// The platform is cut off. The first call must be refused as soon as the connection fails, and
+// further calls without a platform call, all with a `Retry-After`. After the outage the same key
+// can run, since nothing was written.
 #[test]
-fn record_platform_away() {
+fn record_platform_unreachable() {
     let mut bench = two_domains();
     bench.is_cut = true;
     let claim = key("claim-22");
-    let (asker, _) = asker_and_committer(&bench, &claim);
+    let (requester, _) = requester_and_committer(&bench, &claim);
     let start = bench.now;
-    let first = bench.record(asker, &claim);
+    let first = bench.record(requester, &claim);
     bench.deliver_all();
     let calls_before = bench.transcript.len();
-    let second = bench.record(asker, &claim);
+    let second = bench.record(requester, &claim);
     bench.deliver_all();
     assert_eq!(bench.now, start);
     for call in [&first, &second] {
@@ -247,26 +247,29 @@
         assert_eq!(refusal_of(&bench, call), expected);
         assert_eq!(bench.refused[call].retry_after_ms, Some(1_000));
     }
-    let asked = bench.transcript[calls_before..]
+    let has_call = bench.transcript[calls_before..]
         .iter()
         .any(|line| line.contains("\"Platform\""));
-    assert!(!asked, "the platform is left alone while it is away");
+    assert!(
+        !has_call,
+        "no platform call is made while the platform is unreachable"
+    );
     bench.is_cut = false;
     bench.run(1_100);
-    let third = bench.record(asker, &claim);
+    let third = bench.record(requester, &claim);
     bench.run(200);
     bench.check().unwrap();
     assert_eq!(bench.dispatched[&claim], vec![third]);
     check_golden("once_platform_away", &bench.transcript);
 }
 
-// The platform takes calls and never answers. The first caller waits its time out; after that every
-// other is refused at once, for no answer can be hoped for, until one has come.
+// The platform accepts calls and never replies. The first call waits until its timeout; after that
+// further calls must be refused at once until a reply arrives.
 #[test]
-fn record_platform_silent() {
+fn record_platform_unresponsive() {
     let mut bench = two_domains();
     let claim = key("claim-23");
-    let committer = bench.picked(0, &claim);
+    let committer = bench.committer(0, &claim);
     let first = bench.record(committer, &claim);
     for _ in 0..30 {
         bench.now = bench.now.plus_ms(50);
@@ -283,9 +286,8 @@
     assert_eq!(bench.dispatched[&key("claim-24")], vec![third]);
 }
 
-// Two routers of one domain both think that they are picked, and each commits a batch of its own.
-// Every caller gets its call dispatched: the loser of a write reads again and adds its records to
-// those of the other, instead of writing over them.
+// Two routers of one domain both act as the committer and commit a batch each. Every call must be
+// dispatched: the router whose write fails reads again and adds its records instead of overwriting.
 #[test]
 fn record_two_committers_at_once() {
     let mut bench = two_domains();
@@ -293,9 +295,9 @@
         "offer-0", "offer-1", "offer-2", "offer-3", "offer-4", "offer-5",
     ]
     .map(key);
-    let committer = bench.picked(0, &claims[0]);
+    let committer = bench.committer(0, &claims[0]);
     let other = 1 - committer;
-    bench.doubt_members(other);
+    bench.isolate(other);
     for (number, claim) in claims.iter().enumerate() {
         bench.record(if number % 2 == 0 { committer } else { other }, claim);
     }
@@ -307,23 +309,23 @@
     check_golden("once_two_committers", &bench.transcript);
 }
 
-// The committer is frozen while its write is on the way and wakes up after the entry router took
-// over, dispatched, and the caller's retry was refused. Its old write meets a newer version, and
-// what it then tells the entry router changes nothing.
+// The committer is frozen while its write is in flight, and resumes after the entry router took
+// over and dispatched. Its old write must fail on the newer version, and its reply must change
+// nothing. A retry is refused.
 #[test]
 fn record_committer_frozen_and_resumed() {
     let mut bench = two_domains();
     let claim = key("claim-25");
-    let (asker, committer) = asker_and_committer(&bench, &claim);
-    let call = bench.record(asker, &claim);
-    while !bench.parcels.iter().any(is_write) {
+    let (requester, committer) = requester_and_committer(&bench, &claim);
+    let call = bench.record(requester, &claim);
+    while !bench.envelopes.iter().any(is_write) {
         bench.deliver(0);
     }
-    let write = bench.parcels.remove(0);
+    let write = bench.envelopes.remove(0);
     bench.freeze(committer);
     bench.run(600);
     assert_eq!(bench.dispatched[&claim], vec![call]);
-    bench.parcels.push(write);
+    bench.envelopes.push(write);
     bench.resume(committer);
     bench.run(600);
     let retry = bench.record(2, &claim);
@@ -334,17 +336,17 @@
     check_golden("once_committer_frozen", &bench.transcript);
 }
 
-// No target is found for a call whose record is durable. The call is refused "not run", the record
-// is given up, and the retry runs.
+// No target is found for a call with a durable record. The call is refused as not run, and the
+// record must be released so that a retry can run.
 #[test]
 fn forget_frees_key() {
     let mut bench = two_domains();
     let claim = key("claim-26");
-    let (asker, _) = asker_and_committer(&bench, &claim);
-    bench.record_or_forget(asker, &claim, true);
+    let (requester, _) = requester_and_committer(&bench, &claim);
+    bench.record_or_forget(requester, &claim, true);
     bench.run(200);
     assert_eq!(dispatches(&bench, &claim), 0);
-    assert!(bench.is_idle(asker));
+    assert!(bench.is_idle(requester));
     let retry = bench.record(2, &claim);
     bench.run(200);
     bench.check().unwrap();
--- a/crates/beechsaddle-core/tests/once_shard.rs
+++ b/crates/beechsaddle-core/tests/once_shard.rs
@@ -1,21 +1,21 @@
-//! What a dedup shard holds, and for how long.
+//! Tests of the contents and the retention of a dedup shard.
 
 mod once_support;
 
+use beechsaddle_core::dedup::DedupOptions;
 use beechsaddle_core::objects::PlatformObject;
-use beechsaddle_core::once::OnceOptions;
 use beechsaddle_core::prelude::*;
-use once_support::{OnceBench, key};
+use once_support::{DedupBench, key};
 
-/// How long these sessions keep records, in milliseconds.
+/// The retention of records in these sessions, in milliseconds.
 const RETENTION_MS: u64 = 20 * 60 * 1_000;
 
-/// Two domains with two routers each, one shard.
-fn two_domains() -> OnceBench {
-    let options = OnceOptions {
+/// Creates two domains with two routers each, and one shard.
+fn two_domains() -> DedupBench {
+    let options = DedupOptions {
         shard_count: 1,
         retention_ms: RETENTION_MS,
-        ..OnceOptions::default()
+        ..DedupOptions::default()
     };
     let hosts = [
         ("anis", "nord"),
@@ -23,23 +23,23 @@
         ("dill", "sued"),
         ("estragon", "sued"),
     ];
-    OnceBench::new(options, &hosts)
+    DedupBench::new(options, &hosts)
 }
 
-fn refusal_of(bench: &OnceBench, call: &CallId) -> (RefusalReason, RanState) {
+fn refusal_of(bench: &DedupBench, call: &CallId) -> (RefusalReason, RanState) {
     let refusal = &bench.refused[call];
     (refusal.reason, refusal.ran)
 }
 
-// The store comes back without the shard, as after a bad restore. Every key in it may have run, so
-// calls are refused until an operator has looked, instead of starting the shard anew.
+// The store returns without the shard, as after a failed restore. Every key in it may have run, so
+// calls must be refused until an operator intervenes, instead of a new shard being created.
 #[test]
 fn record_shard_lost() {
     let mut bench = two_domains();
-    let committer = bench.picked(0, &key("claim-27"));
+    let committer = bench.committer(0, &key("claim-27"));
     bench.record(committer, &key("claim-27"));
     bench.run(200);
-    bench.store.lose("dedup/0");
+    bench.store.lose_object("dedup/0");
     bench.record(committer, &key("claim-28"));
     let call = bench.record(committer, &key("claim-29"));
     bench.run(200);
@@ -48,15 +48,15 @@
     assert!(bench.store.get("dedup/0").is_none());
 }
 
-// The clocks of one domain are set forward by a year. A record that its committer knows is a few
-// seconds old, by any count of time that passed; to drop it now would let the key run again.
+// The clocks of one domain are set forward by a year. A record with an observed age of a few
+// seconds must not be dropped, or its key could run again.
 #[test]
 fn retention_clock_set_forward() {
     let mut bench = two_domains();
     let claim = key("claim-30");
     let call = bench.record(0, &claim);
     bench.run(1_000);
-    let other = bench.picked(2, &claim);
+    let other = bench.committer(2, &claim);
     bench.record(other, &key("claim-29"));
     bench.run(1_000);
     assert_eq!(bench.dispatched[&claim], vec![call.clone()]);
@@ -69,10 +69,10 @@
     assert_eq!(bench.dispatched[&claim], vec![call]);
 }
 
-// A record is watched by one domain's committer while the other's comes and goes. Its age grows by
-// what any of them saw pass, never by more, and after the retention the key is free.
+// The committers of two domains take turns in observing a record. Its age must grow only by the
+// time that any of them observed, and after the retention the key is free.
 #[test]
-fn retention_ends_after_watching() {
+fn retention_ends_after_observed_time() {
     let minute_ms = 60 * 1_000;
     let mut bench = two_domains();
     let claim = key("claim-31");
@@ -85,23 +85,23 @@
     assert_eq!(bench.dispatched[&claim], vec![call]);
     bench.run(minute_ms);
     bench.dispatched.clear();
-    let committer = bench.picked(0, &claim);
+    let committer = bench.committer(0, &claim);
     let again = bench.record(committer, &claim);
     bench.run(1_000);
     bench.check().unwrap();
     assert_eq!(bench.dispatched[&claim], vec![again]);
 }
 
-// A shard is full. Further keys are refused as not run, keys in it are still known, and no object
-// outgrows what the platform holds.
+// A full shard refuses further keys as not run, retains its keys, and stays below the platform's
+// size limit.
 #[test]
 fn record_shard_full() {
-    let options = OnceOptions {
+    let options = DedupOptions {
         shard_count: 1,
         max_records: 40,
-        ..OnceOptions::default()
+        ..DedupOptions::default()
     };
-    let mut bench = OnceBench::new(options, &[("anis", "nord")]);
+    let mut bench = DedupBench::new(options, &[("anis", "nord")]);
     let calls: Vec<CallId> = (0..50)
         .map(|number| bench.record(0, &key(&format!("offer-{number}"))))
         .collect();
@@ -114,18 +114,18 @@
         assert_eq!(refusal_of(&bench, call), expected);
     }
     let Some(PlatformObject::Dedup(shard)) = bench.store.get("dedup/0") else {
-        panic!("the shard is there");
+        panic!("the shard exists");
     };
     assert_eq!(shard.records.len(), 40);
 }
 
-// A call found no target just as the platform went away, and the router is asked to shut down. It
-// does not wait for an outage of unknown length to write one release; if it stays, it writes it.
+// The platform becomes unreachable before a release is written, and the router drains. It must not
+// wait for the end of the outage, but still writes the release if it stays.
 #[test]
-fn is_idle_platform_away() {
+fn is_idle_platform_unreachable() {
     let mut bench = two_domains();
     let claim = key("claim-35");
-    let committer = bench.picked(0, &claim);
+    let committer = bench.committer(0, &claim);
     bench.record_or_forget(committer, &claim, true);
     while bench.outcomes.is_empty() {
         bench.deliver(0);
--- a/crates/beechsaddle-core/tests/once_support/bench_faults.rs
+++ b/crates/beechsaddle-core/tests/once_support/bench_faults.rs
@@ -1,16 +1,16 @@
-//! The `bench_faults` module provides what can go wrong on the bench.
+//! The `bench_faults` module provides the faults of the bench.
 
 use beechsaddle_core::members::{MemberEntry, MemberLiveness};
 use beechsaddle_core::platform::{PlatformCall, PlatformReply};
 use beechsaddle_core::prelude::*;
 
-use super::parcel::{NOBODY, Parcel};
+use super::envelope::{Envelope, NO_ROUTER};
 use super::router_node::new_node;
-use super::{OnceBench, is_write};
+use super::{DedupBench, is_write};
 
-impl OnceBench {
-    /// Lets a router believe that it is alone in its domain.
-    pub fn doubt_members(&mut self, node: usize) {
+impl DedupBench {
+    /// Marks all other routers as down in one router's member table.
+    pub fn isolate(&mut self, node: usize) {
         let target = &mut self.nodes[node];
         let others: Vec<(RouterIncarnation, MemberEntry)> = target
             .members
@@ -23,11 +23,11 @@
         }
     }
 
-    /// Delivers platform calls and answers until the next write has reached the store, and loses
-    /// its answer.
+    /// Delivers platform calls and replies until the next write has reached the store, and drops
+    /// its reply.
     pub fn lose_next_write_answer(&mut self) {
         loop {
-            if let Some(index) = self.parcels.iter().position(is_write) {
+            if let Some(index) = self.envelopes.iter().position(is_write) {
                 self.lose_answer(index);
                 return;
             }
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Lets the call at `index` take effect and loses its answer.
+    /// Applies the call at `index` and drops its reply.
     pub fn lose_answer(&mut self, index: usize) {
-        if let Parcel::Call { node, ticket, call } = self.parcels[index].clone() {
-            self.parcels.remove(index);
+        if let Envelope::Call { node, ticket, call } = self.envelopes[index].clone() {
+            self.envelopes.remove(index);
             self.store.apply(&call);
             let reply = PlatformReply::Unknown;
-            self.parcels.push(Parcel::Reply {
+            self.envelopes.push(Envelope::Reply {
                 node,
                 ticket,
                 reply,
@@ -49,17 +49,17 @@
         }
     }
 
-    /// Tells a router that the answer to its call at `index` is lost, while the call is still on
-    /// its way: it may take effect at any later time, or never.
-    pub fn give_up_call(&mut self, index: usize) {
-        if let Parcel::Call { node, ticket, call } = self.parcels[index].clone() {
-            self.parcels[index] = Parcel::Call {
-                node: NOBODY,
+    /// Times out the call at `index` while it is in flight: it may take effect at any later time,
+    /// or never.
+    pub fn time_out_call(&mut self, index: usize) {
+        if let Envelope::Call { node, ticket, call } = self.envelopes[index].clone() {
+            self.envelopes[index] = Envelope::Call {
+                node: NO_ROUTER,
                 ticket,
                 call,
             };
             let reply = PlatformReply::Unknown;
-            self.parcels.push(Parcel::Reply {
+            self.envelopes.push(Envelope::Reply {
                 node,
                 ticket,
                 reply,
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Ends a router's process: its memory and what it has sent to the platform are gone.
+    /// Kills a router: its memory is lost, and replies to it are dropped.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].is_alive = false;
         self.nodes[node].is_frozen = false;
-        self.note(node, "event", &"killed");
-        self.orphan_parcels(node);
+        self.write_line(node, "event", &"killed");
+        self.orphan_envelopes(node);
         let me = self.nodes[node].me.clone();
         for other in &mut self.nodes {
             if let Some(entry) = other.members.get(&me) {
@@ -83,14 +83,14 @@
         }
     }
 
-    /// Calls that were sent may still take effect; nobody reads their answers.
-    fn orphan_parcels(&mut self, dead: usize) {
-        self.parcels
-            .retain(|parcel| !matches!(parcel, Parcel::Reply { node, .. } if *node == dead));
-        for parcel in &mut self.parcels {
-            match parcel {
-                Parcel::Call { node, .. } if *node == dead => *node = NOBODY,
-                Parcel::Call { .. } | Parcel::Reply { .. } | Parcel::Peer { .. } => {}
+    /// Lets calls in flight still take effect without a reply.
+    fn orphan_envelopes(&mut self, dead: usize) {
+        self.envelopes
+            .retain(|envelope| !matches!(envelope, Envelope::Reply { node, .. } if *node == dead));
+        for envelope in &mut self.envelopes {
+            match envelope {
+                Envelope::Call { node, .. } if *node == dead => *node = NO_ROUTER,
+                Envelope::Call { .. } | Envelope::Reply { .. } | Envelope::Peer { .. } => {}
             }
         }
     }
@@ -99,20 +99,20 @@
     pub fn restart(&mut self, node: usize) {
         let old = &self.nodes[node];
         let me = RouterIncarnation::new(old.me.host.clone(), old.me.epoch + 1);
-        let fresh = new_node(&self.options, me, old.domain.clone());
-        self.nodes[node] = fresh;
+        let replacement = new_node(&self.options, me, old.domain.clone());
+        self.nodes[node] = replacement;
         self.introduce();
     }
 
-    /// Stops a router's process.
+    /// Freezes a router's process.
     pub fn freeze(&mut self, node: usize) {
         self.nodes[node].is_frozen = true;
-        self.note(node, "event", &"frozen");
+        self.write_line(node, "event", &"frozen");
     }
 
-    /// Lets a frozen router go on.
+    /// Resumes a frozen router.
     pub fn resume(&mut self, node: usize) {
         self.nodes[node].is_frozen = false;
-        self.note(node, "event", &"resumed");
+        self.write_line(node, "event", &"resumed");
     }
 }
--- a/crates/beechsaddle-core/tests/once_support/once_bench.rs
+++ b/crates/beechsaddle-core/tests/once_support/dedup_bench.rs
@@ -1,46 +1,46 @@
-//! The `once_bench` module provides routers around a fake store.
+//! The `dedup_bench` module provides routers with a fake store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use beechsaddle_core::dedup::DedupOptions;
 use beechsaddle_core::members::MemberEntry;
-use beechsaddle_core::once::OnceOptions;
 use beechsaddle_core::peer::{PeerMessage, RecordRequest};
 use beechsaddle_core::platform::{PlatformReply, PlatformTicket};
 use beechsaddle_core::prelude::*;
 use serde::Serialize;
 
 use super::FakeStore;
-use super::parcel::{NOBODY, Parcel};
+use super::envelope::{Envelope, NO_ROUTER};
 use super::router_node::{RouterNode, member_entry, new_node};
 
-/// How often the bench lets routers tick, in milliseconds.
+/// The interval of ticks in milliseconds.
 const TICK_MS: u64 = 50;
 
-/// Routers, the store, and everything on its way between them.
+/// Routers, the store, and the messages in flight between them.
 #[derive(Clone, Debug)]
-pub struct OnceBench {
+pub struct DedupBench {
     pub now: ClockTime,
-    pub options: OnceOptions,
+    pub options: DedupOptions,
     pub nodes: Vec<RouterNode>,
     pub store: FakeStore,
-    pub parcels: Vec<Parcel>,
+    pub envelopes: Vec<Envelope>,
     /// Whether the store cannot be reached.
     pub is_cut: bool,
-    /// Calls that are forgotten instead of dispatched when their record is durable.
+    /// Calls that are forgotten instead of dispatched once their record is durable.
     pub forgets: BTreeSet<CallId>,
     pub keys: BTreeMap<CallId, RequestKey>,
     pub dispatched: BTreeMap<RequestKey, Vec<CallId>>,
     pub refused: BTreeMap<CallId, CallRefusal>,
-    /// How many outcomes each call got.
+    /// The number of outcomes of each call.
     pub outcomes: BTreeMap<CallId, u32>,
     pub transcript: Vec<String>,
     /// Whether the transcript is written.
     pub is_recorded: bool,
 }
 
-impl OnceBench {
-    /// A bench of routers, each given by its host and its domain.
-    pub fn new(options: OnceOptions, hosts: &[(&str, &str)]) -> Self {
+impl DedupBench {
+    /// Creates routers, each given by its host and its domain.
+    pub fn new(options: DedupOptions, hosts: &[(&str, &str)]) -> Self {
         let nodes: Vec<RouterNode> = hosts
             .iter()
             .map(|(host, domain)| {
@@ -48,12 +48,12 @@
                 new_node(&options, me, DomainName::new(domain))
             })
             .collect();
-        let mut bench = OnceBench {
+        let mut bench = DedupBench {
             now: ClockTime::from_millis(1_000_000),
             options,
             nodes,
             store: FakeStore::default(),
-            parcels: Vec::new(),
+            envelopes: Vec::new(),
             is_cut: false,
             forgets: BTreeSet::new(),
             keys: BTreeMap::new(),
@@ -67,7 +67,7 @@
         bench
     }
 
-    /// Tells every router of all others, as their heartbeats would.
+    /// Adds all routers to each other's member tables, as heartbeats would.
     pub fn introduce(&mut self) {
         let known: Vec<(RouterIncarnation, MemberEntry)> = self
             .nodes
@@ -98,16 +98,16 @@
         };
         self.keys.insert(call.clone(), key.clone());
         let mut outbox = CoreOutbox::new();
-        self.note(node, "record", &request);
+        self.write_line(node, "record", &request);
         let target = &mut self.nodes[node];
         target
-            .desk
+            .manager
             .record(now, request, &target.members, &mut outbox);
-        self.carry(node, outbox);
+        self.apply_outbox(node, outbox);
         call
     }
 
-    /// Sends a call with `key` through a router; `forgets` tells that no target will be found.
+    /// Sends a call with `key` through a router; with `forgets` the router will find no target.
     pub fn record_or_forget(&mut self, node: usize, key: &RequestKey, forgets: bool) -> CallId {
         if forgets {
             let call = CallId {
@@ -119,7 +119,7 @@
         self.record(node, key)
     }
 
-    /// Lets a router tick.
+    /// Ticks a router.
     pub fn tick(&mut self, node: usize) {
         let now = self.node_now(node);
         let target = &mut self.nodes[node];
@@ -127,50 +127,54 @@
             return;
         }
         let mut outbox = CoreOutbox::new();
-        target.desk.tick(now, &target.members, &mut outbox);
+        target.manager.tick(now, &target.members, &mut outbox);
         if !outbox.actions.is_empty() || !outbox.signals.is_empty() {
-            self.note(node, "event", &"tick");
+            self.write_line(node, "event", &"tick");
         }
-        self.carry(node, outbox);
+        self.apply_outbox(node, outbox);
     }
 
-    /// Delivers the parcel at `index`; what is meant for a frozen router stays.
+    /// Delivers the envelope at `index`, unless its receiver is frozen.
     pub fn deliver(&mut self, index: usize) {
-        if self.is_held(&self.parcels[index]) {
+        if self.is_held(&self.envelopes[index]) {
             return;
         }
-        match self.parcels.remove(index) {
-            Parcel::Call { node, ticket, call } => {
+        match self.envelopes.remove(index) {
+            Envelope::Call { node, ticket, call } => {
                 let reply = if self.is_cut {
                     PlatformReply::Unreachable
                 } else {
                     self.store.apply(&call)
                 };
-                if node != NOBODY {
-                    self.parcels.push(Parcel::Reply {
+                if node != NO_ROUTER {
+                    self.envelopes.push(Envelope::Reply {
                         node,
                         ticket,
                         reply,
                     });
                 }
             }
-            Parcel::Reply {
+            Envelope::Reply {
                 node,
                 ticket,
                 reply,
             } => self.answer(node, ticket, reply),
-            Parcel::Peer { from, to, message } => self.hand_over(from, &to, message),
+            Envelope::Peer { from, to, message } => self.deliver_message(from, &to, message),
         }
     }
 
-    /// Delivers everything that is on its way, oldest first, until nothing moves.
+    /// Delivers everything in flight, oldest first, until only envelopes for frozen routers remain.
     pub fn deliver_all(&mut self) {
-        while let Some(index) = self.parcels.iter().position(|parcel| !self.is_held(parcel)) {
+        while let Some(index) = self
+            .envelopes
+            .iter()
+            .position(|envelope| !self.is_held(envelope))
+        {
             self.deliver(index);
         }
     }
 
-    /// Lets time pass, with ticks, and delivers everything as it comes.
+    /// Advances time with ticks and delivers everything in flight.
     pub fn run(&mut self, span_ms: u64) {
         let end = self.now.plus_ms(span_ms);
         self.deliver_all();
@@ -183,34 +187,36 @@
         }
     }
 
-    /// Gives up the record of a call that waits or was not dispatched.
+    /// Forgets a call that waits for its record or was not dispatched.
     pub fn forget(&mut self, node: usize, call: &CallId) {
         let now = self.node_now(node);
         let key = self.keys[call].clone();
-        self.note(node, "forget", call);
+        self.write_line(node, "forget", call);
         let mut outbox = CoreOutbox::new();
-        self.nodes[node].desk.forget(now, call, &key, &mut outbox);
-        self.carry(node, outbox);
+        self.nodes[node]
+            .manager
+            .forget(now, call, &key, &mut outbox);
+        self.apply_outbox(node, outbox);
     }
 
-    /// The node that the routers of a node's domain pick for `key`.
-    pub fn picked(&self, node: usize, key: &RequestKey) -> usize {
+    /// Returns the node that the routers of a node's domain pick for `key`.
+    pub fn committer(&self, node: usize, key: &RequestKey) -> usize {
         let shard = beechsaddle_core::hash::shard_of(key.to_string(), self.options.shard_count);
-        let picked = self.nodes[node]
+        let committer = self.nodes[node]
             .members
             .picked_for(&format!("dedup/{shard}"));
         self.nodes
             .iter()
-            .position(|node| node.me == picked)
-            .expect("the picked router is on the bench")
+            .position(|node| node.me == committer)
+            .expect("the picked router exists")
     }
 
-    /// Whether a router's desk has nothing to do.
+    /// Whether a router's manager is idle.
     pub fn is_idle(&self, node: usize) -> bool {
-        self.nodes[node].desk.is_idle()
+        self.nodes[node].manager.is_idle()
     }
 
-    /// Checks what must hold at all times.
+    /// Checks the invariants.
     pub fn check(&self) -> Result<(), String> {
         for (key, calls) in &self.dispatched {
             if calls.len() > 1 {
@@ -234,7 +240,7 @@
     }
 
     fn answer(&mut self, node: usize, ticket: PlatformTicket, reply: PlatformReply) {
-        if node == NOBODY || !self.nodes[node].is_alive {
+        if node == NO_ROUTER || !self.nodes[node].is_alive {
             return;
         }
         let now = self.node_now(node);
@@ -242,14 +248,19 @@
             ticket,
             reply: reply.clone(),
         };
-        self.note(node, "event", &event);
+        self.write_line(node, "event", &event);
         let mut outbox = CoreOutbox::new();
         let target = &mut self.nodes[node];
-        target.desk.on_platform(now, ticket, reply, &mut outbox);
-        self.carry(node, outbox);
+        target.manager.on_platform(now, ticket, reply, &mut outbox);
+        self.apply_outbox(node, outbox);
     }
 
-    fn hand_over(&mut self, from: RouterIncarnation, to: &RouterIncarnation, message: PeerMessage) {
+    fn deliver_message(
+        &mut self,
+        from: RouterIncarnation,
+        to: &RouterIncarnation,
+        message: PeerMessage,
+    ) {
         let Some(node) = self.nodes.iter().position(|node| node.me == *to) else {
             return;
         };
@@ -261,40 +272,40 @@
             from: from.clone(),
             message: message.clone(),
         };
-        self.note(node, "event", &event);
+        self.write_line(node, "event", &event);
         let mut outbox = CoreOutbox::new();
         let target = &mut self.nodes[node];
         target
-            .desk
+            .manager
             .on_peer(now, from, message, &target.members, &mut outbox);
-        self.carry(node, outbox);
+        self.apply_outbox(node, outbox);
     }
 
-    fn carry(&mut self, node: usize, outbox: CoreOutbox) {
+    fn apply_outbox(&mut self, node: usize, outbox: CoreOutbox) {
         for action in outbox.actions {
-            self.note(node, "action", &action);
+            self.write_line(node, "action", &action);
             match action {
                 CoreAction::Platform { ticket, call } => {
-                    self.parcels.push(Parcel::Call { node, ticket, call });
+                    self.envelopes.push(Envelope::Call { node, ticket, call });
                 }
                 CoreAction::Peer { to, message, .. } => {
                     let from = self.nodes[node].me.clone();
-                    self.parcels.push(Parcel::Peer { from, to, message });
+                    self.envelopes.push(Envelope::Peer { from, to, message });
                 }
                 CoreAction::Report(_) => {}
                 other => panic!("unexpected action {other:?}"),
             }
         }
         for signal in outbox.signals {
-            self.note(node, "signal", &signal);
+            self.write_line(node, "signal", &signal);
             match signal {
-                CoreSignal::RecordDone { call, outcome } => self.conclude(node, call, outcome),
+                CoreSignal::RecordDone { call, outcome } => self.finish(node, call, outcome),
                 other => panic!("unexpected signal {other:?}"),
             }
         }
     }
 
-    fn conclude(&mut self, node: usize, call: CallId, outcome: Result<(), CallRefusal>) {
+    fn finish(&mut self, node: usize, call: CallId, outcome: Result<(), CallRefusal>) {
         *self.outcomes.entry(call.clone()).or_default() += 1;
         match outcome {
             Ok(()) if self.forgets.contains(&call) => self.forget(node, &call),
@@ -308,11 +319,11 @@
         }
     }
 
-    fn is_held(&self, parcel: &Parcel) -> bool {
-        match parcel {
-            Parcel::Call { .. } => false,
-            Parcel::Reply { node, .. } => self.nodes.get(*node).is_some_and(|node| node.is_frozen),
-            Parcel::Peer { to, .. } => self
+    fn is_held(&self, envelope: &Envelope) -> bool {
+        match envelope {
+            Envelope::Call { .. } => false,
+            Envelope::Reply { node, .. } => self.nodes.get(*node).is_some_and(|one| one.is_frozen),
+            Envelope::Peer { to, .. } => self
                 .nodes
                 .iter()
                 .any(|node| node.me == *to && node.is_frozen),
@@ -323,7 +334,7 @@
         self.now.plus_ms(self.nodes[node].clock_ahead_ms)
     }
 
-    pub fn note(&mut self, node: usize, kind: &str, value: &impl Serialize) {
+    pub fn write_line(&mut self, node: usize, kind: &str, value: &impl Serialize) {
         if !self.is_recorded {
             return;
         }
--- a/crates/beechsaddle-core/tests/once_support/parcel.rs
+++ b/crates/beechsaddle-core/tests/once_support/envelope.rs
@@ -1,22 +1,22 @@
-//! The `parcel` module provides what is on its way between routers and the store.
+//! The `envelope` module provides the messages in flight between routers and the store.
 
 use beechsaddle_core::peer::PeerMessage;
 use beechsaddle_core::platform::{PlatformCall, PlatformReply, PlatformTicket};
 use beechsaddle_core::prelude::*;
 
-/// The node of platform calls whose answer nobody reads.
-pub const NOBODY: usize = usize::MAX;
+/// The node of platform calls whose reply is dropped.
+pub const NO_ROUTER: usize = usize::MAX;
 
-/// Something that is on its way.
+/// A message in flight.
 #[derive(Clone, Debug)]
-pub enum Parcel {
-    /// A platform call on its way to the store.
+pub enum Envelope {
+    /// A platform call to the store.
     Call {
         node: usize,
         ticket: PlatformTicket,
         call: PlatformCall,
     },
-    /// An answer on its way back.
+    /// A reply of the store.
     Reply {
         node: usize,
         ticket: PlatformTicket,
--- a/crates/beechsaddle-core/tests/once_support/fake_store.rs
+++ b/crates/beechsaddle-core/tests/once_support/fake_store.rs
@@ -32,13 +32,12 @@
         }
     }
 
-    /// The object at `key`.
     pub fn get(&self, key: &str) -> Option<&PlatformObject> {
         self.objects.get(key).map(|(_, object)| object)
     }
 
-    /// Loses the object at `key`.
-    pub fn lose(&mut self, key: &str) {
+    /// Removes the object at `key`, as a fault.
+    pub fn lose_object(&mut self, key: &str) {
         self.objects.remove(key);
     }
 
@@ -51,7 +50,7 @@
         let version = self.objects.get(key).map(|(version, _)| *version);
         let holds = match guard {
             WriteGuard::Absent => version.is_none(),
-            WriteGuard::Version(wanted) => version == Some(wanted),
+            WriteGuard::Version(expected) => version == Some(expected),
         };
         if !holds {
             return PlatformReply::Conflict;
--- a/crates/beechsaddle-core/tests/once_support/mod.rs
+++ b/crates/beechsaddle-core/tests/once_support/mod.rs
@@ -1,21 +1,21 @@
-//! The `once_support` module provides a bench of routers around a fake store.
+//! The `once_support` module provides a bench of routers with a fake store.
 
 #![allow(dead_code, unused_imports)]
 
 mod bench_faults;
+mod dedup_bench;
+mod envelope;
 mod fake_store;
-mod once_bench;
-mod parcel;
 mod router_node;
 
 use beechsaddle_core::platform::PlatformCall;
 use beechsaddle_core::prelude::*;
 
+pub use dedup_bench::DedupBench;
+pub use envelope::{Envelope, NO_ROUTER};
 pub use fake_store::FakeStore;
-pub use once_bench::OnceBench;
-pub use parcel::{NOBODY, Parcel};
 
-/// The key that tests send.
+/// Returns a caller's key of the test workspace.
 pub fn key(text: &str) -> RequestKey {
     RequestKey {
         workspace: WorkspaceName::new("marktplatz"),
@@ -24,11 +24,11 @@
     }
 }
 
-/// Whether a parcel is a write on its way to the store.
-pub fn is_write(parcel: &Parcel) -> bool {
+/// Whether an envelope is a write to the store.
+pub fn is_write(envelope: &Envelope) -> bool {
     matches!(
-        parcel,
-        Parcel::Call {
+        envelope,
+        Envelope::Call {
             call: PlatformCall::Write { .. },
             ..
         }
--- a/crates/beechsaddle-core/tests/once_support/router_node.rs
+++ b/crates/beechsaddle-core/tests/once_support/router_node.rs
@@ -1,28 +1,27 @@
-//! The `router_node` module provides a router on the bench.
+//! The `router_node` module provides one router of the bench.
 
+use beechsaddle_core::dedup::{DedupManager, DedupOptions};
 use beechsaddle_core::members::{MemberEntry, MemberLiveness, MemberTable};
-use beechsaddle_core::once::{OnceDesk, OnceOptions};
 use beechsaddle_core::peer::RouterState;
 use beechsaddle_core::prelude::*;
 
-/// One router.
 #[derive(Clone, Debug)]
 pub struct RouterNode {
     pub me: RouterIncarnation,
     pub domain: DomainName,
-    pub desk: OnceDesk,
+    pub manager: DedupManager,
     pub members: MemberTable,
     pub next_call: u64,
     pub is_alive: bool,
     pub is_frozen: bool,
-    /// What its clock is ahead of the bench's, in milliseconds.
+    /// How far the router's clock is ahead of the bench's, in milliseconds.
     pub clock_ahead_ms: u64,
 }
 
-/// A router that knows no other.
-pub fn new_node(options: &OnceOptions, me: RouterIncarnation, domain: DomainName) -> RouterNode {
+/// Creates a router with an empty member table.
+pub fn new_node(options: &DedupOptions, me: RouterIncarnation, domain: DomainName) -> RouterNode {
     RouterNode {
-        desk: OnceDesk::new(options.clone(), me.clone()),
+        manager: DedupManager::new(options.clone(), me.clone()),
         members: MemberTable::new(me.clone(), domain.clone()),
         me,
         domain,
@@ -33,7 +32,7 @@
     }
 }
 
-/// What other routers know of one.
+/// Returns the entry of a router in the member tables of others.
 pub fn member_entry(node: &RouterNode) -> MemberEntry {
     MemberEntry {
         domain: node.domain.clone(),
--- a/crates/beechsaddle-core/tests/operations_page.rs
+++ b/crates/beechsaddle-core/tests/operations_page.rs
@@ -1,4 +1,4 @@
-//! Tests that the operators' page keeps up with the code.
+//! Tests that the operations page covers every refusal reason.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
-/// The first cells of the table under the heading on refusals.
+/// Returns the first cells of the table of refusals.
 fn listed_reasons() -> BTreeSet<&'static str> {
     PAGE.lines()
         .skip_while(|line| *line != "## What a refusal means")
--- a/crates/beechsaddle-core/tests/orders_plan.rs
+++ b/crates/beechsaddle-core/tests/orders_plan.rs
@@ -1,4 +1,4 @@
-//! Which target of a service serves which model.
+//! Tests of the assignment of models to targets.
 
 mod once_support;
 mod orders_support;
@@ -38,21 +38,21 @@
 }
 
 quickcheck! {
-    fn plan_models_leaves_none_out(model_count: u8, target_count: u8) -> bool {
+    fn plan_models_serves_every_model(model_count: u8, target_count: u8) -> bool {
         let (model_count, target_count) = (model_count % 14, target_count % 40);
         let plan = plan_models(&models(model_count), &targets(target_count));
         let served: BTreeSet<_> = plan.values().map(|planned| planned.model.clone()).collect();
         served.len() == usize::from(model_count.min(target_count))
     }
 
-    fn plan_models_moves_few(model_count: u8, target_count: u8, gone: u8) -> bool {
+    fn plan_models_changes_few_targets(model_count: u8, target_count: u8, removed: u8) -> bool {
         let (model_count, target_count) = (model_count % 6 + 1, target_count % 40 + 8);
         let all = targets(target_count);
-        let mut rest = all.clone();
-        rest.remove(&TargetName::new(format!("motor-{}", gone % target_count)));
+        let mut remaining = all.clone();
+        remaining.remove(&TargetName::new(format!("motor-{}", removed % target_count)));
         let before = plan_models(&models(model_count), &all);
-        let after = plan_models(&models(model_count), &rest);
-        let moved = after.iter().filter(|(target, planned)| before[*target] != **planned);
-        moved.count() <= usize::from(model_count)
+        let after = plan_models(&models(model_count), &remaining);
+        let changed = after.iter().filter(|(target, planned)| before[*target] != **planned);
+        changed.count() <= usize::from(model_count)
     }
 }
--- a/crates/beechsaddle-core/tests/orders_sessions.rs
+++ b/crates/beechsaddle-core/tests/orders_sessions.rs
@@ -1,4 +1,4 @@
-//! Golden sessions of orders to engines under failure. `UPDATE_GOLDEN=1` writes the files anew.
+//! Golden sessions of orders to engines under faults. `UPDATE_GOLDEN=1` rewrites the files.
 
 mod once_support;
 mod orders_support;
@@ -7,9 +7,9 @@
 use beechsaddle_core::orders::OrderOptions;
 use beechsaddle_core::target::OrderOutcome;
 use once_support::check_golden;
-use orders_support::{OrderBench, Parcel, model, state};
+use orders_support::{Envelope, OrderBench, model, state};
 
-/// Two routers and one engine; the first number is the picked router's, the second the other's.
+/// Creates two routers and one engine; returns the picked router's index, then the other's.
 fn one_engine(checks_fence: bool) -> (OrderBench, usize, usize) {
     let hosts = ["anis", "beifuss"];
     let mut bench = OrderBench::new(&OrderOptions::default(), &hosts, 1, checks_fence);
@@ -20,7 +20,7 @@
     (bench, picked, 1 - picked)
 }
 
-/// Lets `other` take over from a frozen router and put a newer catalogue into force.
+/// Lets `other` take over from a frozen router and apply a newer catalogue.
 fn take_over(bench: &mut OrderBench, frozen: usize, other: usize) {
     bench.set_liveness(other, frozen, MemberLiveness::Down);
     bench.declare(other, 2, &[model("bora", 2)]);
@@ -28,8 +28,8 @@
     assert_eq!(bench.engines[0].state, state("bora", 2));
 }
 
-// A new version is declared. The engine gets one order with a fencing number, reaches the declared
-// state, and hears nothing more.
+// A new version is declared. The engine must get a single order with a fencing number and reach the
+// declared state.
 #[test]
 fn order_declared_version() {
     let (mut bench, _, _) = one_engine(true);
@@ -39,9 +39,9 @@
     check_golden("orders_declared_version", &bench.transcript);
 }
 
-// The router that orders is frozen with its order not yet sent. Another takes over and orders the
-// next version. The first wakes up and its old order goes out: the engine has seen a higher number
-// and refuses it, and the router does not overtake the newer catalogue.
+// A router is frozen before its order is sent, and another router takes over and orders the next
+// version. When the first resumes, its old order must be rejected by the engine, which has seen a
+// higher number, and the router must not take over from the newer catalogue.
 #[test]
 fn order_frozen_issuer_engine_checks() {
     let (mut bench, picked, other) = one_engine(true);
@@ -58,7 +58,7 @@
 }
 
 // The same with an engine that ignores the number: the old order takes effect. The router in charge
-// sees the old version reported and repeats its own order until the declared one is.
+// must repeat its own order until the engine reports the declared version.
 #[test]
 fn order_frozen_issuer_engine_ignores() {
     let (mut bench, picked, other) = one_engine(false);
@@ -72,15 +72,15 @@
     check_golden("orders_frozen_engine_ignores", &bench.transcript);
 }
 
-// The router is frozen between asking for the number and reading the answer, which says that the
-// number is still its own. By the time it goes on, another router is in charge. It has to ask again,
-// for this engine would take the old order.
+// A router is frozen between the read of the fencing number and the reply, which shows the number
+// as its own. When it resumes, another router is in charge. It must read again, since this engine
+// would accept the old order.
 #[test]
 fn order_answer_read_after_freeze() {
     let (mut bench, picked, other) = one_engine(false);
     bench.engines[0].load_ms = 20_000;
     bench.run(15_000);
-    bench.run_until(|parcel| matches!(parcel, Parcel::Reply { .. }));
+    bench.run_until(|envelope| matches!(envelope, Envelope::Reply { .. }));
     bench.freeze(picked);
     bench.engines[0].load_ms = 0;
     take_over(&mut bench, picked, other);
@@ -91,9 +91,9 @@
     assert_eq!(bench.orders(), orders_before);
 }
 
-// The router has taken its number and is frozen before it reads so. Another one takes the next and
-// orders the next version of an engine that ignores numbers. What the first one reads when it goes
-// on is true and too old to act upon.
+// A router is frozen before it reads that its fencing number was written. Another router claims the
+// next number and orders the next version of an engine that ignores numbers. The first must not act
+// on the outdated reply.
 #[test]
 fn order_claim_read_after_freeze() {
     let (mut bench, picked, other) = one_engine(false);
@@ -107,8 +107,8 @@
     assert_eq!(bench.orders(), 1);
 }
 
-// Two routers cannot hear each other, and both think that they are picked. Each takes a number in
-// turn and orders the same state once; then the engine reports it and both are content.
+// Two routers are cut off from each other, and both act as the router in charge. Each must claim a
+// number and order the same state only once.
 #[test]
 fn order_two_issuers() {
     for checks_fence in [true, false] {
@@ -126,8 +126,8 @@
     }
 }
 
-// One of two routers that both think they are picked has missed a change of the catalogue. It must
-// not bring the replaced version back, whoever ordered last.
+// Two routers both act as the router in charge, and one has missed a catalogue change. It must not
+// restore the replaced version, whichever ordered last.
 #[test]
 fn order_older_catalogue() {
     let (mut bench, picked, other) = one_engine(false);
@@ -142,10 +142,10 @@
     assert_eq!(last, Some(&state("bora", 2)));
 }
 
-// Two routers hear each other, and for a while both think that they are picked, while the engine
-// takes its time. The second leaves the first one alone instead of overtaking it at every check.
+// Two connected routers briefly both act as the router in charge while the engine loads. The second
+// must wait for the first instead of taking over at every check.
 #[test]
-fn order_live_rival() {
+fn order_live_competitor() {
     let (mut bench, picked, other) = one_engine(true);
     bench.engines[0].load_ms = 25_000;
     bench.run(1_000);
@@ -158,8 +158,8 @@
     assert!(bench.engines[0].fence <= 2, "{:?}", bench.engines[0].orders);
 }
 
-// The answer to taking a number is lost. Nothing is ordered before the number is read back: had the
-// write failed, two routers would order with one number.
+// The reply to the write of a fencing number is lost. No order may be sent before the number is
+// read back: if the write had failed, two routers could use one number.
 #[test]
 fn order_claim_answer_lost() {
     let (mut bench, _, _) = one_engine(true);
@@ -173,10 +173,10 @@
     assert_eq!(bench.orders(), 1);
 }
 
-// The platform has lost the fencing numbers, and the engine refuses the first ones. The router
-// takes number after number until it has overtaken the engine's.
+// The platform has lost the fencing numbers, and the engine rejects the first ones. The router must
+// claim numbers until they exceed the engine's.
 #[test]
-fn order_numbers_lost() {
+fn order_fencing_numbers_lost() {
     let (mut bench, _, _) = one_engine(true);
     bench.engines[0].fence = 4;
     bench.run(30_000);
@@ -184,9 +184,9 @@
     assert_eq!(bench.engines[0].fence, 4);
 }
 
-// Ten engines have to load at once through a weight store that serves two at a time, and the domain
-// is set to three. The third is told to come back later: no load is started until then, no more
-// than two ever run, and all engines get there.
+// Ten engines load through a weight store that serves two loads at once, and the domain allows
+// three. The third load is throttled: no load may start before the requested delay, no more than
+// two ever run, and all engines reach the declared state.
 #[test]
 fn order_loads_throttled() {
     let options = OrderOptions {
@@ -204,7 +204,7 @@
     for engine in &bench.engines {
         assert_eq!(engine.state, state("bora", 1), "{}", engine.target);
     }
-    assert_eq!(bench.most_loads, 2);
+    assert_eq!(bench.max_loads, 2);
     let throttled =
         |order: &&(u64, _, OrderOutcome)| matches!(order.2, OrderOutcome::Throttled { .. });
     let orders = bench.engines.iter().flat_map(|engine| &engine.orders);
@@ -212,8 +212,8 @@
     check_golden("orders_loads_throttled", &bench.transcript);
 }
 
-// The domain is set to two loads at once. Of twelve engines two load at a time, although the weight
-// store would serve all.
+// The domain allows two concurrent loads. Of twelve engines only two may load at a time, although
+// the weight store would serve all.
 #[test]
 fn order_loads_bounded() {
     let options = OrderOptions {
@@ -227,7 +227,7 @@
         engine.load_ms = 5_000;
     }
     bench.run(60_000);
-    assert_eq!(bench.most_loads, 2);
+    assert_eq!(bench.max_loads, 2);
     assert_eq!(bench.orders(), 12);
     assert!(
         bench
@@ -237,8 +237,8 @@
     );
 }
 
-// Four routers share a domain's rate of loads. In the first minute they start as many as the domain
-// may, and not four times as many.
+// Four routers share a domain's rate of loads. In the first minute they must start no more than the
+// domain's limit, not four times as many.
 #[test]
 fn order_loads_rate_shared() {
     let options = OrderOptions {
@@ -255,15 +255,15 @@
     assert!((9..=16).contains(&bench.orders()), "{}", bench.orders());
 }
 
-fn is_order(parcel: &Parcel) -> bool {
-    matches!(parcel, Parcel::Order { .. })
+fn is_order(envelope: &Envelope) -> bool {
+    matches!(envelope, Envelope::Order { .. })
 }
 
-fn is_write(parcel: &Parcel) -> bool {
+fn is_write(envelope: &Envelope) -> bool {
     use beechsaddle_core::platform::PlatformCall;
     matches!(
-        parcel,
-        Parcel::Call {
+        envelope,
+        Envelope::Call {
             call: PlatformCall::Write { .. },
             ..
         }
--- a/crates/beechsaddle-core/tests/orders_support/fake_engine.rs
+++ b/crates/beechsaddle-core/tests/orders_support/fake_engine.rs
@@ -3,7 +3,6 @@
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::target::{EngineState, OrderOutcome};
 
-/// A model engine.
 #[derive(Clone, Debug)]
 pub struct FakeEngine {
     pub target: TargetName,
@@ -11,16 +10,16 @@
     pub state: EngineState,
     /// The highest fencing number seen.
     pub fence: u64,
-    /// A load under way and when it ends.
+    /// The running load and when it ends.
     pub load: Option<(EngineState, ClockTime)>,
-    /// How long it takes to load, in milliseconds.
+    /// The duration of a load in milliseconds.
     pub load_ms: u64,
-    /// The orders that reached it.
+    /// The orders that reached the engine.
     pub orders: Vec<(u64, EngineState, OrderOutcome)>,
 }
 
 impl FakeEngine {
-    /// Takes an order, unless `is_store_busy`.
+    /// Handles an order; `is_store_busy` throttles it.
     pub fn order(
         &mut self,
         now: ClockTime,
@@ -45,7 +44,7 @@
         outcome
     }
 
-    /// Ends a load whose time is over.
+    /// Completes a load that is due.
     pub fn pass_time(&mut self, now: ClockTime) {
         if let Some((state, end)) = self.load.take() {
             if now >= end {
--- a/crates/beechsaddle-core/tests/orders_support/mod.rs
+++ b/crates/beechsaddle-core/tests/orders_support/mod.rs
@@ -4,7 +4,7 @@
 
 mod fake_engine;
 mod order_bench;
-mod order_parcel;
+mod order_envelope;
 
 use beechsaddle_core::catalogue::{
     CatalogueBase, CatalogueEntry, EntryClass, EntryHeader, EntryLimits, ModelEntry, ServiceEntry,
@@ -15,12 +15,12 @@
 
 pub use fake_engine::FakeEngine;
 pub use order_bench::OrderBench;
-pub use order_parcel::Parcel;
+pub use order_envelope::Envelope;
 
 /// The service of all engines.
 pub const SERVICE: &str = "pomocnik";
 
-/// A model that all adapters and roles leave alone.
+/// Returns a model that differs from others only in its name and version.
 pub fn model(name: &str, version: u64) -> ModelEntry {
     ModelEntry {
         header: header(),
@@ -33,7 +33,7 @@
     }
 }
 
-/// The state that serves a model.
+/// Returns the engine state that serves a model.
 pub fn state(name: &str, version: u64) -> EngineState {
     EngineState {
         model: ModelName::new(name),
@@ -44,7 +44,7 @@
 }
 
 impl OrderBench {
-    /// Puts a catalogue with these models into force at a router.
+    /// Loads a catalogue with these models at a router.
     pub fn declare(&mut self, node: usize, revision: u64, models: &[ModelEntry]) {
         let service = ServiceEntry {
             header: header(),
--- a/crates/beechsaddle-core/tests/orders_support/order_bench.rs
+++ b/crates/beechsaddle-core/tests/orders_support/order_bench.rs
@@ -1,27 +1,26 @@
-//! The `order_bench` module provides routers that order engines around a fake store.
+//! The `order_bench` module provides routers that order engines, with a fake store.
 
 use beechsaddle_core::catalogue::CatalogueView;
 use beechsaddle_core::members::{MemberEntry, MemberLiveness, MemberTable};
-use beechsaddle_core::orders::{OrderDesk, OrderOptions};
+use beechsaddle_core::orders::{OrderManager, OrderOptions};
 use beechsaddle_core::peer::RouterState;
 use beechsaddle_core::platform::PlatformReply;
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::target::{EngineState, TargetAction};
 use serde::Serialize;
 
-use super::{FakeEngine, Parcel, SERVICE, state};
+use super::{Envelope, FakeEngine, SERVICE, state};
 use crate::once_support::FakeStore;
 
-/// How often the bench lets routers tick, in milliseconds.
+/// The interval of ticks in milliseconds.
 const TICK_MS: u64 = 50;
 
-/// How many steps a session waits for something.
-const MOST_STEPS: usize = 2_000;
+/// The maximum number of steps that a session waits for an envelope.
+const MAX_STEPS: usize = 2_000;
 
-/// One router.
 pub struct OrderNode {
     pub me: RouterIncarnation,
-    desk: OrderDesk,
+    manager: OrderManager,
     members: MemberTable,
     pub catalogue: CatalogueView,
     is_frozen: bool,
@@ -33,23 +32,23 @@
     pub nodes: Vec<OrderNode>,
     pub engines: Vec<FakeEngine>,
     pub store: FakeStore,
-    pub parcels: Vec<Parcel>,
-    /// How many loads the weight store serves at once.
+    pub envelopes: Vec<Envelope>,
+    /// The number of loads that the weight store serves at once.
     pub store_loads: usize,
-    /// The most loads that ran at once.
-    pub most_loads: usize,
+    /// The highest number of concurrent loads.
+    pub max_loads: usize,
     pub transcript: Vec<String>,
 }
 
 impl OrderBench {
-    /// A bench of routers and engines, all engines serving version zero of `bora`.
+    /// Creates routers and engines that all serve version zero of `bora`.
     pub fn new(options: &OrderOptions, hosts: &[&str], engines: usize, checks_fence: bool) -> Self {
         let nodes = hosts
             .iter()
             .map(|host| {
                 let me = RouterIncarnation::new(*host, 1);
                 OrderNode {
-                    desk: OrderDesk::new(options.clone(), me.clone()),
+                    manager: OrderManager::new(options.clone(), me.clone()),
                     members: MemberTable::new(me.clone(), DomainName::new("nord")),
                     catalogue: CatalogueView::new(),
                     is_frozen: false,
@@ -73,9 +72,9 @@
             nodes,
             engines,
             store: FakeStore::default(),
-            parcels: Vec::new(),
+            envelopes: Vec::new(),
             store_loads: usize::MAX,
-            most_loads: 0,
+            max_loads: 0,
             transcript: Vec::new(),
         };
         for node in 0..hosts.len() {
@@ -86,7 +85,7 @@
         bench
     }
 
-    /// Sets how alive `other` is to `node`.
+    /// Sets the liveness of `other` in the member table of `node`.
     pub fn set_liveness(&mut self, node: usize, other: usize, liveness: MemberLiveness) {
         if node == other {
             return;
@@ -104,29 +103,29 @@
         self.nodes[node].members.insert(router, entry);
     }
 
-    /// The router that `node` believes to be picked for an engine.
+    /// Returns the router that `node` picks for an engine.
     pub fn picked(&self, node: usize, engine: usize) -> usize {
         let name = format!("orders/{}", self.engines[engine].target);
         let picked = self.nodes[node].members.picked_for(&name);
         self.nodes
             .iter()
             .position(|node| node.me == picked)
-            .expect("the picked router is on the bench")
+            .expect("the picked router exists")
     }
 
-    /// Stops a router's process, with what it has not sent yet.
+    /// Freezes a router's process, including its unsent envelopes.
     pub fn freeze(&mut self, node: usize) {
         self.nodes[node].is_frozen = true;
-        self.note(node, "event", &"frozen");
+        self.write_line(node, "event", &"frozen");
     }
 
-    /// Lets a frozen router go on.
+    /// Resumes a frozen router.
     pub fn resume(&mut self, node: usize) {
         self.nodes[node].is_frozen = false;
-        self.note(node, "event", &"resumed");
+        self.write_line(node, "event", &"resumed");
     }
 
-    /// Lets time pass.
+    /// Advances time with ticks and delivers everything in flight.
     pub fn run(&mut self, span_ms: u64) {
         let end = self.now.plus_ms(span_ms);
         self.deliver_all();
@@ -137,24 +136,23 @@
         }
     }
 
-    /// Delivers one parcel after the other, and lets ticks pass when there is none, until one is on
-    /// its way that `is_wanted`.
-    pub fn run_until(&mut self, is_wanted: impl Fn(&Parcel) -> bool) {
-        for _ in 0..MOST_STEPS {
-            if self.parcels.iter().any(&is_wanted) {
+    /// Delivers single envelopes, and ticks when there is none, until one matches `is_wanted`.
+    pub fn run_until(&mut self, is_wanted: impl Fn(&Envelope) -> bool) {
+        for _ in 0..MAX_STEPS {
+            if self.envelopes.iter().any(&is_wanted) {
                 return;
             }
-            if self.parcels.is_empty() {
+            if self.envelopes.is_empty() {
                 self.now = self.now.plus_ms(TICK_MS);
                 self.tick_all();
             } else {
                 self.deliver(0);
             }
         }
-        panic!("what the session waits for does not come");
+        panic!("no matching envelope was sent");
     }
 
-    /// Lets every router probe and tick once, and delivers nothing.
+    /// Probes the engines and ticks every router once, without delivery.
     pub fn tick_all(&mut self) {
         for engine in &mut self.engines {
             engine.pass_time(self.now);
@@ -166,26 +164,30 @@
         }
     }
 
-    /// Delivers everything that is on its way, oldest first; what belongs to a frozen router stays.
+    /// Delivers everything in flight, oldest first, except envelopes of frozen routers.
     pub fn deliver_all(&mut self) {
-        let is_free = |bench: &Self, parcel: &Parcel| !bench.nodes[parcel.node()].is_frozen;
-        while let Some(index) = self.parcels.iter().position(|parcel| is_free(self, parcel)) {
+        let is_free = |bench: &Self, envelope: &Envelope| !bench.nodes[envelope.node()].is_frozen;
+        while let Some(index) = self
+            .envelopes
+            .iter()
+            .position(|envelope| is_free(self, envelope))
+        {
             self.deliver(index);
         }
     }
 
-    /// Delivers one parcel.
+    /// Delivers one envelope.
     pub fn deliver(&mut self, index: usize) {
-        match self.parcels.remove(index) {
-            Parcel::Call { node, ticket, call } => {
+        match self.envelopes.remove(index) {
+            Envelope::Call { node, ticket, call } => {
                 let reply = self.store.apply(&call);
-                self.parcels.push(Parcel::Reply {
+                self.envelopes.push(Envelope::Reply {
                     node,
                     ticket,
                     reply,
                 });
             }
-            Parcel::Reply {
+            Envelope::Reply {
                 node,
                 ticket,
                 reply,
@@ -194,37 +196,37 @@
                     ticket,
                     reply: reply.clone(),
                 };
-                self.note(node, "event", &event);
+                self.write_line(node, "event", &event);
                 let mut outbox = CoreOutbox::new();
-                let desk = &mut self.nodes[node].desk;
-                desk.on_platform(self.now, ticket, reply, &mut outbox);
-                self.carry(node, outbox);
+                let manager = &mut self.nodes[node].manager;
+                manager.on_platform(self.now, ticket, reply, &mut outbox);
+                self.apply_outbox(node, outbox);
             }
-            Parcel::Order {
+            Envelope::Order {
                 node,
                 target,
                 fence,
                 state,
-            } => self.give_order(node, target, fence, &state),
-            Parcel::Ordered {
+            } => self.deliver_order(node, target, fence, &state),
+            Envelope::Ordered {
                 node,
                 target,
                 fence,
                 outcome,
             } => {
-                self.note(node, "ordered", &(&target, fence, outcome));
-                let desk = &mut self.nodes[node].desk;
-                desk.on_ordered(self.now, &target, fence, outcome);
+                self.write_line(node, "ordered", &(&target, fence, outcome));
+                let manager = &mut self.nodes[node].manager;
+                manager.on_ordered(self.now, &target, fence, outcome);
             }
         }
     }
 
-    /// Loses the answer to the call at `index` after it took effect.
+    /// Applies the call at `index` and drops its reply.
     pub fn lose_answer(&mut self, index: usize) {
-        if let Parcel::Call { node, ticket, call } = self.parcels.remove(index) {
+        if let Envelope::Call { node, ticket, call } = self.envelopes.remove(index) {
             self.store.apply(&call);
             let reply = PlatformReply::Unknown;
-            self.parcels.push(Parcel::Reply {
+            self.envelopes.push(Envelope::Reply {
                 node,
                 ticket,
                 reply,
@@ -232,7 +234,7 @@
         }
     }
 
-    /// How many orders reached the engines.
+    /// Returns how many orders reached the engines.
     pub fn orders(&self) -> usize {
         self.engines.iter().map(|engine| engine.orders.len()).sum()
     }
@@ -240,7 +242,7 @@
     fn tick(&mut self, node: usize) {
         let target = &mut self.nodes[node];
         for engine in &self.engines {
-            target.desk.on_target_state(
+            target.manager.on_target_state(
                 self.now,
                 engine.target.clone(),
                 format!("{}:8000", engine.target),
@@ -251,21 +253,21 @@
         }
         let mut outbox = CoreOutbox::new();
         target
-            .desk
+            .manager
             .tick(self.now, &target.members, &target.catalogue, &mut outbox);
-        self.carry(node, outbox);
+        self.apply_outbox(node, outbox);
     }
 
-    fn give_order(&mut self, node: usize, target: TargetName, fence: u64, state: &EngineState) {
+    fn deliver_order(&mut self, node: usize, target: TargetName, fence: u64, state: &EngineState) {
         let loads = self.loads();
         let engine = self
             .engines
             .iter_mut()
             .find(|engine| engine.target == target)
-            .expect("the engine is on the bench");
+            .expect("the engine exists");
         let outcome = engine.order(self.now, fence, state, loads >= self.store_loads);
-        self.most_loads = self.most_loads.max(self.loads());
-        self.parcels.push(Parcel::Ordered {
+        self.max_loads = self.max_loads.max(self.loads());
+        self.envelopes.push(Envelope::Ordered {
             node,
             target,
             fence,
@@ -280,20 +282,20 @@
             .count()
     }
 
-    fn carry(&mut self, node: usize, outbox: CoreOutbox) {
+    fn apply_outbox(&mut self, node: usize, outbox: CoreOutbox) {
         assert!(outbox.signals.is_empty());
         for action in outbox.actions {
-            self.note(node, "action", &action);
+            self.write_line(node, "action", &action);
             match action {
                 CoreAction::Platform { ticket, call } => {
-                    self.parcels.push(Parcel::Call { node, ticket, call });
+                    self.envelopes.push(Envelope::Call { node, ticket, call });
                 }
                 CoreAction::Target(TargetAction::Order {
                     target,
                     fence,
                     state,
                     ..
-                }) => self.parcels.push(Parcel::Order {
+                }) => self.envelopes.push(Envelope::Order {
                     node,
                     target,
                     fence,
@@ -305,7 +307,7 @@
         }
     }
 
-    fn note(&mut self, node: usize, kind: &str, value: &impl Serialize) {
+    fn write_line(&mut self, node: usize, kind: &str, value: &impl Serialize) {
         let at = self.now;
         let router = &self.nodes[node].me;
         let text = serde_json::to_string(value).expect("events have a JSON form");
--- a/crates/beechsaddle-core/tests/orders_support/order_parcel.rs
+++ b/crates/beechsaddle-core/tests/orders_support/order_envelope.rs
@@ -1,12 +1,12 @@
-//! The `order_parcel` module provides what is on its way between routers, store and engines.
+//! The `order_envelope` module provides the messages in flight between routers, store and engines.
 
 use beechsaddle_core::platform::{PlatformCall, PlatformReply, PlatformTicket};
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::target::{EngineState, OrderOutcome};
 
-/// Something that is on its way.
+/// A message in flight.
 #[derive(Clone, Debug)]
-pub enum Parcel {
+pub enum Envelope {
     Call {
         node: usize,
         ticket: PlatformTicket,
@@ -31,14 +31,14 @@
     },
 }
 
-impl Parcel {
-    /// The router that sent it or gets it.
+impl Envelope {
+    /// Returns the sending or receiving router.
     pub fn node(&self) -> usize {
         match self {
-            Parcel::Call { node, .. }
-            | Parcel::Reply { node, .. }
-            | Parcel::Order { node, .. }
-            | Parcel::Ordered { node, .. } => *node,
+            Envelope::Call { node, .. }
+            | Envelope::Reply { node, .. }
+            | Envelope::Order { node, .. }
+            | Envelope::Ordered { node, .. } => *node,
         }
     }
 }
--- a/crates/beechsaddle-core/tests/router_calls.rs
+++ b/crates/beechsaddle-core/tests/router_calls.rs
@@ -1,4 +1,4 @@
-//! Tests of whole calls through whole router cores.
+//! Tests of whole calls through complete router cores.
 
 mod fleet_setup;
 mod router_support;
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn call_refused_costs_nothing() {
+fn refused_call_is_not_billed() {
     let mut world = RouterWorld::new(1, 100_000);
     let mut foreign = world.arrival(0, chat());
     foreign.budget = Some("others".into());
-    let mut stranger = world.arrival(0, chat());
-    stranger.key_digest.0[0] = 0;
+    let mut unknown_caller = world.arrival(0, chat());
+    unknown_caller.key_digest.0[0] = 0;
     let unknown = world.arrival(
         0,
         CallRoute::Chat {
@@ -70,7 +70,7 @@
     late.deadline = Some(world.now);
     let cases = [
         (foreign, RefusalReason::ForeignBudget),
-        (stranger, RefusalReason::UnknownKey),
+        (unknown_caller, RefusalReason::UnknownKey),
         (unknown, RefusalReason::UnknownService),
         (engine, RefusalReason::NotAllowed),
         (keyless, RefusalReason::BadRequest),
@@ -87,10 +87,9 @@
     assert_eq!(world.routers[0].open_calls(), 0);
 }
 
-// A call names a budget of its workspace that is not the default, and that no router's catalogue
-// names: the ledger does.
+// A call names a budget of its workspace that is not the default, and that only the ledger knows.
 #[test]
-fn call_names_another_budget_of_its_workspace() {
+fn call_uses_a_budget_that_is_not_the_default() {
     let mut world = RouterWorld::new(1, 100_000);
     world.add_budget("spare", 50_000);
     let mut arrival = world.arrival(0, chat());
@@ -102,8 +101,8 @@
     assert_eq!(world.account_of("spare").bills, 1);
 }
 
-// The caller sees one answer. Its first target takes no connection, so the call did not run there,
-// and the second target answers. The bill is for one answer.
+// The first target accepts no connection, so the call did not run there. The second target answers,
+// and one answer is billed.
 #[test]
 fn retry_connect_failed_goes_to_another_target() {
     let mut world = RouterWorld::new(1, 100_000);
@@ -126,9 +125,9 @@
     assert_eq!(world.account().bills, 4);
 }
 
-// The caller of a payout confirmation sees "outcome unknown": the target broke the connection after
-// the request was sent. A second try with the same key must not reach any target, through whichever
-// router it comes, and what the first may have cost is billed once.
+// A target breaks the connection after a not-repeatable request was sent, so its outcome is
+// unknown. A second call with the same key must reach no target through any router, and the
+// possible cost of the first is billed once.
 #[test]
 fn not_repeatable_lost_connection_runs_once() {
     let mut world = RouterWorld::new(2, 100_000);
@@ -155,14 +154,14 @@
     assert_eq!(world.account().settled, 5);
 }
 
-// The caller hangs up while its reservation is on the way. Nothing is dispatched and nothing billed,
-// and what was reserved comes back.
+// The caller disconnects while its reservation is pending. Nothing may be dispatched or billed, and
+// the reservation must be returned.
 #[test]
-fn caller_gone_before_dispatch_costs_nothing() {
+fn caller_gone_before_dispatch_is_not_billed() {
     let mut world = RouterWorld::new(1, 100_000);
     let arrival = world.arrival(0, chat());
     let call = arrival.call.clone();
-    world.platform_away = true;
+    world.is_platform_down = true;
     world.send(0, CoreEvent::Call(CallEvent::Arrived(Box::new(arrival))));
     world.send(
         0,
@@ -172,16 +171,16 @@
         }),
     );
     world.run(200);
-    world.platform_away = false;
+    world.is_platform_down = false;
     world.run(10_000);
     assert_eq!(world.dispatched.len(), 0);
     assert_eq!(world.account().bills, 0);
     assert_eq!(world.routers[0].open_calls(), 0);
 }
 
-// The caller hangs up at the moment in which its call is dispatched. The edge has let go of the call
-// and sends nothing; it says nothing more of it either. The call must not stay open for ever: its
-// reservation would never come back, and a drain would never end.
+// The caller disconnects at the moment of its dispatch, and the edge sends nothing and raises no
+// further event. The call must not stay open: its reservation would never be returned, and a drain
+// would never end.
 #[test]
 fn caller_gone_as_dispatched_ends_call() {
     for repeatable in [true, false] {
@@ -214,9 +213,9 @@
     }
 }
 
-// The caller sees a visibly broken answer. What was relayed is billed, once.
+// A target's answer ends early. The relayed tokens are billed once.
 #[test]
-fn answer_truncated_bills_what_was_relayed() {
+fn truncated_answer_bills_relayed_tokens() {
     let mut world = RouterWorld::new(2, 100_000);
     set_all(&mut world, TargetScript::Stall);
     let arrival = world.arrival(0, chat());
@@ -228,8 +227,8 @@
     assert_eq!(world.account().bills, 1);
 }
 
-// An answer of an attempt that was given up arrives after the next attempt began. It is void: the
-// caller gets the second target's answer only, and the bill is the second's.
+// The answer to an attempt that timed out arrives after the next attempt started. It must be
+// ignored: the caller gets only the second target's answer, and only that is billed.
 #[test]
 fn answer_of_an_earlier_attempt_is_ignored() {
     let mut world = RouterWorld::new(1, 100_000);
@@ -261,9 +260,9 @@
     assert!(world.finished.contains(&running.call));
 }
 
-// An operator shuts a router down while an answer streams for 45 seconds. The stream goes on to its
-// end, a new call is refused with a time to come back, and the router exits only after its bill is
-// durable and its grant returned.
+// A router drains while an answer streams for 45 seconds. The stream continues to its end, a new
+// call is refused with a `Retry-After`, and the router exits only after its bill is durable and its
+// grant returned.
 #[test]
 fn drain_waits_for_open_streams() {
     let mut world = RouterWorld::new(1, 100_000);
@@ -290,10 +289,10 @@
     );
 }
 
-// A router's host is replaced while the platform is away. The new router learns the catalogue and the
-// fleet's layout from its peers; its callers are served out of the grant that a peer still holds.
+// A router's host is replaced during an outage of the platform. The new router must receive the
+// catalogue and the layout from its peers and serve calls out of the grant that a peer still holds.
 #[test]
-fn restart_in_an_outage_serves_by_its_peers() {
+fn restart_in_an_outage_serves_with_state_from_peers() {
     let mut world = RouterWorld::new(3, 100_000);
     for router in 0..3 {
         let arrival = world.arrival(router, chat());
@@ -304,7 +303,7 @@
         .iter()
         .position(|router| !router.grants().is_empty());
     let restarted = (holder.expect("a router holds the budget") + 1) % 3;
-    world.platform_away = true;
+    world.is_platform_down = true;
     world.restart(restarted);
     world.run(5_000);
     let arrival = world.arrival(restarted, chat());
@@ -316,9 +315,9 @@
     );
 }
 
-// A holder is killed a moment after one of its own callers got its whole answer, and comes back at
-// once as another life. Its witness holds the copy of the call; the bill must reach the ledger, once,
-// however far the journal was.
+// A budget's holder is killed just after one of its own calls was answered, and restarts at once as
+// a new incarnation. The backup router has a usage copy; the bill must reach the ledger once,
+// whatever part of it was journalled.
 #[test]
 fn holder_restarted_after_answer_bills_once() {
     for delay_ms in (0..=2_000).step_by(50) {
@@ -357,9 +356,9 @@
     }
 }
 
-// A router dies while its call waits at the budget's holder for a grant, and comes back as another
-// life. The grant comes a moment later. Nobody waits for the reservation any more and nobody would
-// ever end it, so none is made: what the holder has goes back to the budget.
+// A router dies while its call waits at the budget's holder for a grant, and restarts as a new
+// incarnation before the grant arrives. No router would ever end a reservation for that call, so
+// none may be made, and the grant returns to the budget.
 #[test]
 fn reservation_for_a_dead_router_is_not_made() {
     let mut world = RouterWorld::new(2, 100_000);
@@ -372,22 +371,22 @@
     let entry = 1 - holder.expect("a router holds the budget");
     world.run(200_000);
     assert_eq!(world.account().granted(), 0);
-    world.platform_away = true;
+    world.is_platform_down = true;
     let arrival = world.arrival(entry, chat());
     world.call_for(entry, arrival, 100);
     world.restart(entry);
     world.run(100);
-    world.platform_away = false;
+    world.is_platform_down = false;
     world.run(200_000);
     assert_eq!(world.dispatched.len(), 1);
     assert_eq!(world.account().granted(), 0, "{:?}", world.account());
 }
 
-// A budget's holder gives back what it does not need, and the write does not reach the platform. The
-// holder already counts on the smaller grant, so nothing else would make it look again: the tokens
-// would be missing to all other routers until the next call comes.
+// A holder's write to return unused tokens does not reach the platform. The holder already counts
+// on the smaller grant and must retry by itself: the tokens would otherwise be missing to all other
+// routers until the next call.
 #[test]
-fn grant_return_that_failed_is_tried_again() {
+fn failed_grant_return_is_retried() {
     let mut world = RouterWorld::new(1, 100_000);
     let arrival = world.arrival(0, chat());
     world.call(0, arrival);
@@ -398,9 +397,9 @@
     assert_eq!(world.account().granted(), 0, "{:?}", world.account());
 }
 
-// The caller hangs up at the moment its call is dispatched. The edge then does not carry out the
-// dispatch and says only that the caller is gone. Without an end the call would stay open, its
-// reservation with it, and a graceful shutdown would wait for ever.
+// The caller disconnects at the moment of its dispatch, and the edge raises only the caller's
+// disconnect. The call must end, or it would stay open with its reservation and block a graceful
+// shutdown.
 #[test]
 fn caller_gone_while_dispatched_ends_the_call() {
     let mut world = RouterWorld::new(1, 100_000);
@@ -430,12 +429,12 @@
     );
 }
 
-// The router that a caller is connected to dies in the middle of a stream; its host stays on the
-// platform's lagging list. The caller sees the stream break and asks again with the same key through
-// another router. It must not be told for as long as the list lags that the key is still running:
-// the router has fallen silent, and whichever of the two runs is billed, there is one bill.
+// An entry router dies in the middle of a stream, while its host stays on the platform's lagging
+// list. A retry with the same key through another router must not be refused as still running until
+// the list is updated, since the entry router sends no heartbeats. Whichever call is billed, there
+// is one bill.
 #[test]
-fn entry_silent_lets_its_key_run_again() {
+fn key_of_unresponsive_entry_router_can_run_again() {
     let mut world = RouterWorld::new(3, 100_000);
     let arrival = world.arrival(0, chat());
     world.call(0, arrival);
@@ -469,16 +468,16 @@
     assert_eq!(world.account().settled, 2 * ANSWER_USAGE.total());
 }
 
-// A workspace calls a few times a minute. The platform goes away between two of its calls. The holder
-// still has a large grant, and the next call must be served out of it: a mark that had shrunk below
-// one call's bound would refuse the first call of every outage.
+// A workspace with a few calls a minute is idle when the platform becomes unreachable. The holder's
+// large grant must serve the next call: a high-water mark that had shrunk below one call's bound
+// would refuse the first call of every outage.
 #[test]
-fn outage_after_a_quiet_time_serves_the_next_call() {
+fn outage_after_an_idle_period_serves_the_next_call() {
     let mut world = RouterWorld::new(3, 100_000);
     let arrival = world.arrival(0, chat());
     world.call(0, arrival);
     world.run(40_000);
-    world.platform_away = true;
+    world.is_platform_down = true;
     let arrival = world.arrival(0, chat());
     let call = world.call(0, arrival);
     assert!(
@@ -488,9 +487,9 @@
     );
 }
 
-// The ring into the core is full when an attempt fails after its bytes were sent; the event waits.
-// The caller hangs up, and that event overtakes the other. The call may have run: its key must stay
-// spent, or the next call with it would pay out a second time.
+// An attempt fails after its bytes were sent, and its event waits for room in the ring. The
+// caller's disconnect overtakes it. The call may have run, so its key must stay taken, or the next
+// call with it would run a second time.
 #[test]
 fn caller_gone_overtakes_failed_attempt() {
     let mut world = RouterWorld::new(1, 100_000);
--- a/crates/beechsaddle-core/tests/router_fences.rs
+++ b/crates/beechsaddle-core/tests/router_fences.rs
@@ -1,4 +1,4 @@
-//! Tests of journals that are closed for routers that are gone, over whole routers.
+//! Tests that the journals of dead routers are fenced, over complete routers.
 
 mod fault_fleet;
 mod fleet_setup;
@@ -13,10 +13,10 @@
     StepKind::Call { node, key, route }
 }
 
-// Router 3 does not hear router 0, and the platform's list drops its host while it runs. Router 0
-// takes it for gone and closes its journal; it goes on with the next one, from which a caller gets a
-// whole answer. Then it dies, and with it the last router of its domain. Router 0 is picked to fold
-// its journals and has done so once: it must look again, or the answer is never billed.
+// Router 3 is cut off from router 0, and the platform's list drops its host while it runs. Router 0
+// closes its journal as that of a dead router; router 3 continues with the next one and answers a
+// call. Then it dies as the last router of its domain. Router 0, which has folded its journals
+// once, must look for further ones, or the answer is never billed.
 #[test]
 fn fence_finds_journals_after_the_first() {
     let mut fleet = FaultFleet::new(209);
@@ -38,11 +38,11 @@
     assert_eq!(fleet.faults, Vec::<String>::new());
 }
 
-// All routers of a domain end within seconds while the domain is cut off, and one of them by a crash.
-// Only one router of the other domain had ever heard of that one, and another that never did is picked
-// to fold its journals. The answer that a caller got must be billed all the same.
+// All routers of a domain end within seconds while the domain is cut off, one of them by a crash.
+// Only one router of the other domain had ever seen the crashed router, and one that had not is
+// picked to fold its journals. The answer of a call must still be billed.
 #[test]
-fn fence_happens_when_the_picked_router_knows_nothing() {
+fn fence_by_router_without_record_of_the_dead_router() {
     let mut fleet = FaultFleet::new(209);
     for step in [
         step(call(1, 147, 72), 749),
@@ -63,9 +63,10 @@
     assert_eq!(fleet.faults, Vec::<String>::new());
 }
 
-/// Guards against a journal that stays open because all who knew of its router's death died too.
+/// Guards against a journal that stays open because every router that knew of its owner's death
+/// died too.
 #[test]
-fn fence_finds_grants_that_nobody_is_left_to_claim() {
+fn fence_finds_grants_after_all_peers_died() {
     for seed in 300..310 {
         let mut fleet = FaultFleet::new(seed);
         fleet.step(&step(call(0, 147, 73), 700));
--- a/crates/beechsaddle-core/tests/router_interleavings.rs
+++ b/crates/beechsaddle-core/tests/router_interleavings.rs
@@ -1,7 +1,7 @@
-//! Random interleavings of calls and faults over whole routers of two domains.
+//! Random interleavings of calls and faults over complete routers of two domains.
 //!
 //! `BEECHSADDLE_SEED=n` replays and shortens one session; `BEECHSADDLE_SEEDS=n` runs `n` of them,
-//! from `BEECHSADDLE_FIRST` on, each of `BEECHSADDLE_STEPS` steps.
+//! starting at `BEECHSADDLE_FIRST`, each with `BEECHSADDLE_STEPS` steps.
 
 mod fault_fleet;
 mod fleet_setup;
@@ -12,13 +12,13 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Steps of a session.
+/// Steps per session.
 const STEPS: u64 = 60;
 
-/// Sessions of an ordinary run.
+/// The default number of sessions.
 const SEEDS: u64 = 12;
 
-/// Sessions that the search for a shorter one may run.
+/// The maximum number of sessions to run while shortening one.
 const SHRINK_RUNS: usize = 150;
 
 fn draw_steps(seed: u64) -> Vec<FleetStep> {
@@ -27,7 +27,7 @@
     (0..count).map(|_| FleetStep::draw(&mut random)).collect()
 }
 
-/// What is wrong in a session, or nothing.
+/// Returns the faults found in a session.
 fn run_session(seed: u64, steps: &[FleetStep]) -> Vec<String> {
     let session = || {
         let mut fleet = FaultFleet::new(seed);
@@ -51,7 +51,7 @@
     })
 }
 
-/// What kind of fault comes first: its text without the figures.
+/// Returns the kind of the first fault: the start of its text without digits.
 fn kind_of(faults: &[String]) -> String {
     let first = faults.first().map_or("", String::as_str);
     first
@@ -61,7 +61,7 @@
         .collect()
 }
 
-/// Takes out steps for as long as the session stays wrong in the same way.
+/// Removes steps while the session still fails in the same way.
 fn shrink(seed: u64, steps: Vec<FleetStep>, kind: &str) -> Vec<FleetStep> {
     let mut shortest = steps;
     let mut length = shortest.len() / 2;
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn interleavings_keep_every_promise() {
+fn interleavings_keep_all_invariants() {
     let seeds = match env_number("BEECHSADDLE_SEED") {
         Some(seed) => seed..seed + 1,
         None => {
@@ -119,8 +119,9 @@
     );
 }
 
-/// Guards against a bill for a call that never ran, as its router was taken for gone while it waited.
+/// Guards against a bill for a call that never ran because its router was presumed dead while it
+/// waited.
 #[test]
-fn interleavings_router_taken_for_gone_bills_nothing_unrun() {
+fn interleavings_call_not_run_before_router_loss_is_not_billed() {
     assert_eq!(run_session(1_185, &draw_steps(1_185)), Vec::<String>::new());
 }
