--- a/crates/beechsaddle-core/tests/router_support/mod.rs
+++ b/crates/beechsaddle-core/tests/router_support/mod.rs
@@ -1,4 +1,4 @@
-//! The `router_support` module provides whole router cores joined by a fake platform and network.
+//! The `router_support` module provides complete router cores with a fake platform and network.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,25 +15,25 @@
 
 use crate::fleet_setup::{first_change, host_list, new_router, probe_outcome};
 
-/// The tokens that each engine's answer uses.
+/// The usage of each engine's answer.
 pub const ANSWER_USAGE: TokenUsage = TokenUsage {
     input: 10,
     output: 20,
 };
 
-/// Events that one moment may raise; more means that routers answer each other without end.
-const STEPS_MAX: u32 = 10_000;
+/// The maximum number of events at one moment; more means an endless exchange of replies.
+const MAX_STEPS: u32 = 10_000;
 
-/// What a target does with a dispatched call.
+/// The behaviour of a target for a dispatched call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetScript {
-    /// Answers in full.
+    /// Answers completely.
     Answer,
     /// Fails before the first byte.
     Fail(AttemptFailure),
-    /// Takes the call and never says anything.
+    /// Accepts the call and never answers.
     Silent,
-    /// Starts an answer and then waits for [`RouterWorld::end_answer`].
+    /// Starts an answer and waits for [`RouterWorld::end_answer`].
     Stall,
 }
 
@@ -48,11 +48,11 @@
 pub struct RouterWorld {
     pub now: ClockTime,
     pub routers: Vec<RouterCore>,
-    pub platform_away: bool,
-    /// Writes of the ledger that do not reach the platform, from now on.
+    pub is_platform_down: bool,
+    /// The number of next ledger writes that do not reach the platform.
     pub lost_ledger_writes: u32,
     pub scripts: BTreeMap<TargetName, TargetScript>,
-    /// Attempts in the order of their dispatch.
+    /// Attempts in dispatch order.
     pub dispatched: Vec<AttemptId>,
     pub refused: BTreeMap<CallId, CallRefusal>,
     pub finished: Vec<CallId>,
@@ -68,7 +68,7 @@
 }
 
 impl RouterWorld {
-    /// A world of `count` routers with a budget of `tokens`, two engines and a plain service.
+    /// Creates `count` routers with a budget of `tokens`, two engines and a plain service.
     pub fn new(count: usize, tokens: u64) -> Self {
         let names: Vec<_> = (0..count)
             .map(|index| RouterIncarnation::new(format!("router-{index}").as_str(), 1))
@@ -76,7 +76,7 @@
         let mut world = RouterWorld {
             now: ClockTime::from_millis(1_000_000),
             routers: names.iter().map(|name| new_router(name, &names)).collect(),
-            platform_away: false,
+            is_platform_down: false,
             lost_ledger_writes: 0,
             scripts: BTreeMap::new(),
             dispatched: Vec::new(),
@@ -115,20 +115,20 @@
         world
     }
 
-    /// Lets time pass in steps of one tick.
+    /// Advances time in steps of one tick.
     pub fn run(&mut self, span_ms: u64) {
         let end = self.now.plus_ms(span_ms);
-        self.settle();
+        self.process_events();
         while self.now < end {
             self.now = self.now.plus_ms(TICK_MS);
             for router in 0..self.routers.len() {
                 self.queue.push_back((router, CoreEvent::Tick));
             }
-            self.settle();
+            self.process_events();
         }
     }
 
-    /// An arrival at a router, not yet sent.
+    /// Returns an arrival at a router, without sending it.
     pub fn arrival(&mut self, router: usize, route: CallRoute) -> CallArrival {
         self.calls += 1;
         CallArrival {
@@ -148,12 +148,12 @@
         }
     }
 
-    /// Sends an arrival and lets the routers work on it for half a second.
+    /// Sends an arrival and runs the routers for half a second.
     pub fn call(&mut self, router: usize, arrival: CallArrival) -> CallId {
         self.call_for(router, arrival, 500)
     }
 
-    /// Sends an arrival and lets the routers work on it for a while.
+    /// Sends an arrival and runs the routers for `span_ms`.
     pub fn call_for(&mut self, router: usize, arrival: CallArrival, span_ms: u64) -> CallId {
         let call = arrival.call.clone();
         let event = CallEvent::Arrived(Box::new(arrival));
@@ -182,7 +182,8 @@
         self.run(500);
     }
 
-    /// Replaces a router by a later life on the same host, as after a crash: nothing is kept.
+    /// Replaces a router by a later incarnation on the same host, as after a crash: its memory is
+    /// lost.
     pub fn restart(&mut self, router: usize) {
         let earlier = &self.names[router];
         let name = RouterIncarnation {
@@ -196,17 +197,17 @@
         self.send(router, CoreEvent::Started);
     }
 
-    /// The budget's account at the platform.
+    /// Returns the budget's account on the platform.
     pub fn account(&self) -> &BudgetAccount {
         self.account_of("main")
     }
 
-    /// The account of any budget at the platform.
+    /// Returns the account of any budget on the platform.
     pub fn account_of(&self, budget: &str) -> &BudgetAccount {
         &self.ledger().budgets[budget]
     }
 
-    /// Declares another budget of the workspace.
+    /// Adds another budget of the workspace.
     pub fn add_budget(&mut self, budget: &str, tokens: u64) {
         let mut account = BudgetAccount::new("verlag".into(), "ana".into());
         account.top_up(&"paid".into(), tokens);
@@ -219,11 +220,11 @@
     fn ledger(&self) -> &BudgetLedger {
         match self.store.get(BudgetLedger::object_key(0).as_str()) {
             Some((_, PlatformObject::Ledger(ledger))) => ledger,
-            _ => panic!("the ledger is there"),
+            _ => panic!("the ledger exists"),
         }
     }
 
-    /// Every bill in every journal at the platform, in tokens by key.
+    /// Returns every bill in every journal on the platform, in tokens by key.
     pub fn bills(&self) -> BTreeMap<String, u64> {
         let mut bills = BTreeMap::new();
         for (_, object) in self.store.values() {
@@ -241,14 +242,17 @@
         self.store.insert(key.into(), (self.revision, object));
     }
 
-    fn settle(&mut self) {
+    fn process_events(&mut self) {
         let mut steps = 0;
         while let Some((router, event)) = self.queue.pop_front() {
             steps += 1;
-            if steps > STEPS_MAX - 12 {
+            if steps > MAX_STEPS - 12 {
                 eprintln!("{router}: {event:?}");
             }
-            assert!(steps < STEPS_MAX, "routers answer each other without end");
+            assert!(
+                steps < MAX_STEPS,
+                "more than {MAX_STEPS} events at one moment"
+            );
             if self.exited.contains(&router) {
                 continue;
             }
@@ -266,7 +270,7 @@
             CoreAction::Platform { ticket, call } => self.on_platform(router, ticket, call),
             CoreAction::Peer { to, message, .. } => {
                 let from = self.names[router].clone();
-                if let Some(index) = self.names.iter().position(|name| is_meant(name, &to)) {
+                if let Some(index) = self.names.iter().position(|name| is_receiver(name, &to)) {
                     self.queue
                         .push_back((index, CoreEvent::Peer { from, message }));
                 }
@@ -290,7 +294,7 @@
         match action {
             CallAction::Refuse { call, refusal } => {
                 let earlier = self.refused.insert(call, refusal);
-                assert!(earlier.is_none(), "a call has one final answer");
+                assert!(earlier.is_none(), "a call got two final answers");
             }
             CallAction::Dispatch {
                 attempt, target, ..
@@ -323,7 +327,7 @@
         } else {
             let is_lost = self.lost_ledger_writes > 0 && is_ledger_write(&call);
             self.lost_ledger_writes -= u32::from(is_lost);
-            let reply = match self.platform_away || is_lost {
+            let reply = match self.is_platform_down || is_lost {
                 true => PlatformReply::Unreachable,
                 false => self.serve(call),
             };
@@ -345,8 +349,8 @@
                 let version = self.store.get(&key).map(|(version, _)| *version);
                 let holds = match guard {
                     beechsaddle_core::platform::WriteGuard::Absent => version.is_none(),
-                    beechsaddle_core::platform::WriteGuard::Version(wanted) => {
-                        version == Some(wanted)
+                    beechsaddle_core::platform::WriteGuard::Version(expected) => {
+                        version == Some(expected)
                     }
                 };
                 if !holds {
@@ -374,7 +378,7 @@
     }
 
     fn answer_watches(&mut self) {
-        if self.platform_away {
+        if self.is_platform_down {
             return;
         }
         for watch in std::mem::take(&mut self.watches) {
@@ -410,8 +414,8 @@
     matches!(call, PlatformCall::Write { object, .. } if matches!(**object, PlatformObject::Ledger(_)))
 }
 
-/// Whether a message to `to` reaches `name`; a sender that knows only the host names epoch zero.
-fn is_meant(name: &RouterIncarnation, to: &RouterIncarnation) -> bool {
+/// Whether a message to `to` reaches `name`; a sender that knows only the host uses epoch zero.
+fn is_receiver(name: &RouterIncarnation, to: &RouterIncarnation) -> bool {
     name.host == to.host && (to.epoch == 0 || to.epoch == name.epoch)
 }
 
--- a/crates/beechsaddle-core/tests/targets_choice.rs
+++ b/crates/beechsaddle-core/tests/targets_choice.rs
@@ -5,7 +5,7 @@
 use beechsaddle_core::members::HostState;
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::report::{CounterName, ReportAction};
-use beechsaddle_core::target::{CacheNews, LoadReport, ProbeOutcome, TargetEvent};
+use beechsaddle_core::target::{CacheUpdate, LoadReport, ProbeOutcome, TargetEvent};
 use beechsaddle_core::targets::{TargetChoice, TargetOptions, TargetTable};
 use quickcheck::{QuickCheck, TestResult};
 use routing_support::*;
@@ -25,7 +25,7 @@
     table
 }
 
-fn with_cache(target: &TargetName, cache: CacheNews) -> TargetEvent {
+fn with_cache(target: &TargetName, cache: CacheUpdate) -> TargetEvent {
     TargetEvent::Probed {
         target: target.clone(),
         outcome: ProbeOutcome::Healthy {
@@ -36,8 +36,8 @@
     }
 }
 
-fn added(first: u64, next: u64) -> CacheNews {
-    CacheNews {
+fn added(first: u64, next: u64) -> CacheUpdate {
+    CacheUpdate {
         first,
         next,
         added: PREFIX.to_vec(),
@@ -99,10 +99,10 @@
         chosen(table.choose(at(11), &engine_call(&PREFIX, &[]))),
         cached
     );
-    let gapped = CacheNews {
+    let gapped = CacheUpdate {
         first: 40,
         next: 40,
-        ..CacheNews::default()
+        ..CacheUpdate::default()
     };
     table.on_target(
         at(60_000),
--- a/crates/beechsaddle-core/tests/targets_leave.rs
+++ b/crates/beechsaddle-core/tests/targets_leave.rs
@@ -3,7 +3,7 @@
 mod routing_support;
 
 use beechsaddle_core::members::HostState;
-use beechsaddle_core::peer::TargetNews;
+use beechsaddle_core::peer::TargetUpdate;
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::target::ProbeOutcome;
 use beechsaddle_core::targets::{TargetChoice, TargetOptions, TargetTable};
@@ -29,8 +29,8 @@
         .collect()
 }
 
-fn leave_update(epoch: u64, sequence: u64) -> TargetNews {
-    TargetNews {
+fn leave_update(epoch: u64, sequence: u64) -> TargetUpdate {
+    TargetUpdate {
         target: target(0),
         epoch,
         state: HostState::Leaving,
@@ -40,8 +40,8 @@
     }
 }
 
-fn live_update(epoch: u64, sequence: u64) -> TargetNews {
-    TargetNews {
+fn live_update(epoch: u64, sequence: u64) -> TargetUpdate {
+    TargetUpdate {
         state: HostState::Live,
         ..leave_update(epoch, sequence)
     }
--- a/crates/beechsaddle-core/tests/targets_replaced.rs
+++ b/crates/beechsaddle-core/tests/targets_replaced.rs
@@ -3,7 +3,7 @@
 mod routing_support;
 
 use beechsaddle_core::members::HostState;
-use beechsaddle_core::peer::TargetNews;
+use beechsaddle_core::peer::TargetUpdate;
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::target::ProbeOutcome;
 use beechsaddle_core::targets::{TargetChoice, TargetOptions};
@@ -30,7 +30,7 @@
     // The old host is gone and must get no calls until the own list shows the new address.
     let mut table = table(TargetOptions::default());
     table.on_hosts(at(0), &hosts(1), &mut CoreOutbox::new());
-    let update = TargetNews {
+    let update = TargetUpdate {
         target: target(0),
         epoch: 2,
         state: HostState::Live,
@@ -104,7 +104,7 @@
     let mut table = table(TargetOptions::default());
     table.on_hosts(at(0), &hosts(1), &mut CoreOutbox::new());
     table.on_target(at(10), &healthy(&target(0), 0, 0), &mut CoreOutbox::new());
-    let update = TargetNews {
+    let update = TargetUpdate {
         target: target(0),
         epoch: 1,
         state: HostState::Down,
@@ -130,7 +130,7 @@
         let event = probed(&target(0), ProbeOutcome::Failed);
         table.on_target(at(moment), &event, &mut CoreOutbox::new());
     }
-    let update = TargetNews {
+    let update = TargetUpdate {
         target: target(0),
         epoch: 1,
         state: HostState::Live,
--- a/crates/beechsaddle-lab/src/measure/domain_bytes.rs
+++ b/crates/beechsaddle-lab/src/measure/domain_bytes.rs
@@ -10,10 +10,10 @@
     CatalogueChange, CatalogueEntry, CatalogueOptions, EntryClass, EntryEdit, EntryHeader,
     EntryLimits, WorkspaceEntry,
 };
+use beechsaddle_core::dedup::DedupOptions;
 use beechsaddle_core::event::TICK_MS;
 use beechsaddle_core::members::{HostList, HostRecord, HostRole, HostState, MemberOptions};
 use beechsaddle_core::objects::{FleetLayout, PlatformObject};
-use beechsaddle_core::once::OnceOptions;
 use beechsaddle_core::orders::OrderOptions;
 use beechsaddle_core::peer::PeerMessage;
 use beechsaddle_core::platform::{PlatformCall, PlatformReply, PlatformTicket, StoredObject};
@@ -279,7 +279,7 @@
         },
         calls: CallOptions::default(),
         accounting: AccountingOptions::default(),
-        once: OnceOptions::default(),
+        dedup: DedupOptions::default(),
         members: MemberOptions::default(),
         catalogue: CatalogueOptions::default(),
         targets: TargetOptions::default(),
--- a/crates/beechsaddle-lab/src/measure/leave.rs
+++ b/crates/beechsaddle-lab/src/measure/leave.rs
@@ -8,7 +8,7 @@
 use beechsaddle_core::event::TICK_MS;
 use beechsaddle_core::members::{HostState, MemberTable};
 use beechsaddle_core::outbox::CoreOutbox;
-use beechsaddle_core::peer::TargetNews;
+use beechsaddle_core::peer::TargetUpdate;
 use beechsaddle_core::target::{LoadReport, ProbeOutcome, TargetAction, TargetEvent};
 use beechsaddle_core::targets::{TargetOptions, TargetTable};
 use rand::{Rng, SeedableRng};
@@ -50,7 +50,7 @@
     arrives: u64,
     from: usize,
     to: usize,
-    news: Vec<TargetNews>,
+    news: Vec<TargetUpdate>,
 }
 
 /// One domain whose targets leave one after the other.
--- a/crates/beechsaddle-lab/src/measure/peer_samples.rs
+++ b/crates/beechsaddle-lab/src/measure/peer_samples.rs
@@ -5,7 +5,7 @@
 use beechsaddle_core::objects::FleetLayout;
 use beechsaddle_core::peer::{
     AdmitRequest, LimitUse, PeerHeartbeat, PeerMessage, RecordRequest, RouterState, SettleRequest,
-    TargetNews, WitnessNote,
+    TargetUpdate, WitnessNote,
 };
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::target::{EngineRole, EngineState, LoadReport};
@@ -43,8 +43,8 @@
     })
 }
 
-fn target_news(number: usize, engines: bool) -> TargetNews {
-    TargetNews {
+fn target_news(number: usize, engines: bool) -> TargetUpdate {
+    TargetUpdate {
         target: format!("graz-nord-pool-{number:04}").as_str().into(),
         epoch: 3,
         state: HostState::Live,
--- a/crates/beechsaddle-lab/src/measure/routing/engine_model.rs
+++ b/crates/beechsaddle-lab/src/measure/routing/engine_model.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use beechsaddle_core::target::{CacheNews, LoadReport};
+use beechsaddle_core::target::{CacheUpdate, LoadReport};
 
 use super::routing_call::RoutingCall;
 
@@ -172,7 +172,7 @@
 
     /// Cache events after `after` that are older than `lag_ms`; `is_lost` leaves out what the asker
     /// has not seen, so that a gap follows.
-    pub fn cache_news(&self, now_ms: f64, lag_ms: f64, after: u64, is_lost: bool) -> CacheNews {
+    pub fn cache_news(&self, now_ms: f64, lag_ms: f64, after: u64, is_lost: bool) -> CacheUpdate {
         let known = self
             .events
             .partition_point(|(happened, _, _)| *happened <= now_ms - lag_ms);
@@ -189,7 +189,7 @@
                 .map(|(hash, _)| *hash)
                 .collect()
         };
-        CacheNews {
+        CacheUpdate {
             first,
             next,
             added: pick(true),
--- a/crates/beechsaddle-lab/src/measure/sample_objects.rs
+++ b/crates/beechsaddle-lab/src/measure/sample_objects.rs
@@ -11,11 +11,11 @@
     CatalogueBase, CatalogueEntry, EntryClass, EntryHeader, EntryLimits, WorkspaceEntry,
 };
 use beechsaddle_core::clock::ClockTime;
+use beechsaddle_core::dedup::{DedupRecord, DedupShard};
 use beechsaddle_core::hash::stable_hash;
 use beechsaddle_core::members::{HostList, HostRecord, HostRole, HostState};
 use beechsaddle_core::names::{CallId, KeyOrigin, RequestKey, RouterIncarnation};
 use beechsaddle_core::objects::PlatformObject;
-use beechsaddle_core::once::{DedupRecord, DedupShard};
 
 /// A start number of a router, as long as a time in milliseconds.
 const EPOCH: u64 = 1_800_000_000_000;
--- a/crates/beechsaddle-lab/src/stand_in/engine/prefix_cache.rs
+++ b/crates/beechsaddle-lab/src/stand_in/engine/prefix_cache.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::{Duration, Instant};
 
-use beechsaddle_core::target::CacheNews;
+use beechsaddle_core::target::CacheUpdate;
 
 /// How many events are kept for those who ask late.
 const EVENTS_KEPT: usize = 4096;
@@ -61,7 +61,7 @@
     }
 
     /// The events from a number on that are old enough to be published.
-    pub(super) fn news(&self, after: u64, gap: bool) -> CacheNews {
+    pub(super) fn news(&self, after: u64, gap: bool) -> CacheUpdate {
         let now = Instant::now();
         let mut published: Vec<&CacheEvent> = self
             .events
@@ -78,7 +78,7 @@
             let matching = published.iter().filter(move |event| event.added == added);
             matching.map(|event| event.hash).collect()
         };
-        CacheNews {
+        CacheUpdate {
             first,
             next,
             added: hashes(true),
--- a/crates/beechsaddle-lab/tests/stand_in_engine.rs
+++ b/crates/beechsaddle-lab/tests/stand_in_engine.rs
@@ -4,7 +4,7 @@
 
 use beechsaddle_core::hash::prefix_chain;
 use beechsaddle_core::names::ModelName;
-use beechsaddle_core::target::{CacheNews, EngineRole, EngineState};
+use beechsaddle_core::target::{CacheUpdate, EngineRole, EngineState};
 use beechsaddle_lab::fleet::{CallerAnswer, FleetCaller, chat_body};
 use beechsaddle_lab::load::HttpClient;
 use beechsaddle_lab::stand_in::engine::EngineOrder;
@@ -165,15 +165,15 @@
     let caller = FleetCaller::new();
     let text = "bread ".repeat(200);
     ask(&address, chat(&text, false, 1, "a")).await.unwrap();
-    let early: CacheNews = caller.get(&address, "/cache-events?after=0").await.unwrap();
-    assert_eq!(early, CacheNews::default());
+    let early: CacheUpdate = caller.get(&address, "/cache-events?after=0").await.unwrap();
+    assert_eq!(early, CacheUpdate::default());
     tokio::time::sleep(Duration::from_millis(80)).await;
-    let news: CacheNews = caller.get(&address, "/cache-events?after=0").await.unwrap();
+    let news: CacheUpdate = caller.get(&address, "/cache-events?after=0").await.unwrap();
     let chain = prefix_chain(format!("user\n{text}\n"));
     assert_eq!(news.added, chain);
     assert_eq!(news.removed, chain[..chain.len() - 3]);
     let later = format!("/cache-events?after={}", news.next);
-    let nothing: CacheNews = caller.get(&address, &later).await.unwrap();
+    let nothing: CacheUpdate = caller.get(&address, &later).await.unwrap();
     assert!(nothing.added.is_empty() && nothing.first == news.next);
 }
 
--- a/crates/beechsaddle-wire/src/peer/heartbeat_codec.rs
+++ b/crates/beechsaddle-wire/src/peer/heartbeat_codec.rs
@@ -3,7 +3,7 @@
 use beechsaddle_core::catalogue::{EntryId, EntryKind};
 use beechsaddle_core::members::HostState;
 use beechsaddle_core::objects::FleetLayout;
-use beechsaddle_core::peer::{LimitUse, PeerHeartbeat, RouterNews, RouterState, TargetNews};
+use beechsaddle_core::peer::{LimitUse, PeerHeartbeat, RouterState, RouterUpdate, TargetUpdate};
 
 use super::engine_codec::{read_engine, read_load, write_engine, write_load};
 use super::identity_codec::{read_incarnation, write_incarnation};
@@ -70,7 +70,7 @@
 
 // An empty list is left out altogether: a heartbeat without news is the one that is sent most.
 fn write_targets(
-    targets: &[TargetNews],
+    targets: &[TargetUpdate],
     builder: &mut peer_capnp::heartbeat::Builder<'_>,
 ) -> Result<()> {
     if targets.is_empty() {
@@ -98,14 +98,14 @@
     Ok(())
 }
 
-fn read_targets(reader: peer_capnp::heartbeat::Reader<'_>) -> Result<Vec<TargetNews>> {
+fn read_targets(reader: peer_capnp::heartbeat::Reader<'_>) -> Result<Vec<TargetUpdate>> {
     let list = reader.get_targets()?;
     check_count(list.len() as usize, NEWS_MAX)?;
     list.iter().map(read_target).collect()
 }
 
-fn read_target(reader: peer_capnp::target_news::Reader<'_>) -> Result<TargetNews> {
-    Ok(TargetNews {
+fn read_target(reader: peer_capnp::target_news::Reader<'_>) -> Result<TargetUpdate> {
+    Ok(TargetUpdate {
         target: read_name(reader.get_target()?)?.into(),
         epoch: reader.get_epoch(),
         state: match reader.get_state()? {
@@ -171,7 +171,7 @@
 }
 
 fn write_routers(
-    routers: &[RouterNews],
+    routers: &[RouterUpdate],
     builder: &mut peer_capnp::heartbeat::Builder<'_>,
 ) -> Result<()> {
     if routers.is_empty() {
@@ -190,14 +190,14 @@
     Ok(())
 }
 
-fn read_routers(reader: peer_capnp::heartbeat::Reader<'_>) -> Result<Vec<RouterNews>> {
+fn read_routers(reader: peer_capnp::heartbeat::Reader<'_>) -> Result<Vec<RouterUpdate>> {
     let list = reader.get_routers()?;
     check_count(list.len() as usize, NEWS_MAX)?;
     list.iter().map(read_router).collect()
 }
 
-fn read_router(reader: peer_capnp::router_news::Reader<'_>) -> Result<RouterNews> {
-    Ok(RouterNews {
+fn read_router(reader: peer_capnp::router_news::Reader<'_>) -> Result<RouterUpdate> {
+    Ok(RouterUpdate {
         router: read_incarnation(reader.get_router()?)?,
         domain: read_name(reader.get_domain()?)?.into(),
         address: read_text(reader.get_address()?)?.to_owned(),
--- a/crates/beechsaddle-wire/tests/common/mod.rs
+++ b/crates/beechsaddle-wire/tests/common/mod.rs
@@ -8,8 +8,8 @@
 use beechsaddle_core::members::{HostList, HostRecord, HostRole, HostState};
 use beechsaddle_core::objects::FleetLayout;
 use beechsaddle_core::peer::{
-    AdmitRequest, CallProgress, LimitUse, PeerHeartbeat, PeerMessage, RecordRequest, RouterNews,
-    RouterState, SettleRequest, TargetNews, WitnessNote,
+    AdmitRequest, CallProgress, LimitUse, PeerHeartbeat, PeerMessage, RecordRequest, RouterState,
+    RouterUpdate, SettleRequest, TargetUpdate, WitnessNote,
 };
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::target::{EngineRole, EngineState, LoadReport};
@@ -200,7 +200,7 @@
             ledger_shards: u32::arbitrary(gen_),
             dedup_shards: u32::arbitrary(gen_),
         }),
-        targets: any_list(gen_, |gen_| TargetNews {
+        targets: any_list(gen_, |gen_| TargetUpdate {
             target: any_name(gen_).as_str().into(),
             epoch: u64::arbitrary(gen_),
             state: *gen_
@@ -233,7 +233,7 @@
             requests: u32::arbitrary(gen_),
             tokens: u64::arbitrary(gen_),
         }),
-        routers: any_list(gen_, |gen_| RouterNews {
+        routers: any_list(gen_, |gen_| RouterUpdate {
             router: any_incarnation(gen_),
             domain: any_name(gen_).as_str().into(),
             address: any_name(gen_),
--- a/crates/beechsaddle-wire/tests/once_shard_size.rs
+++ b/crates/beechsaddle-wire/tests/once_shard_size.rs
@@ -1,10 +1,10 @@
 //! The size of dedup shards as they are stored.
 
+use beechsaddle_core::dedup::{DedupRecord, DedupShard};
 use beechsaddle_core::names::{
     CallId, KeyOrigin, KeyText, RequestKey, RouterIncarnation, WorkspaceName,
 };
 use beechsaddle_core::objects::PlatformObject;
-use beechsaddle_core::once::{DedupRecord, DedupShard};
 
 /// A shard of alike records with names of the given lengths and the largest numbers.
 fn shard_bytes(count: usize, workspace: usize, key: usize, host: usize, released: bool) -> usize {
--- a/crates/beechsaddle/src/calls/probe.rs
+++ b/crates/beechsaddle/src/calls/probe.rs
@@ -6,7 +6,7 @@
 
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::target::{
-    CacheNews, EngineState, OrderOutcome, ProbeOutcome, TargetAction, TargetEvent,
+    CacheUpdate, EngineState, OrderOutcome, ProbeOutcome, TargetAction, TargetEvent,
 };
 use bytes::Bytes;
 use http::header::{CONTENT_TYPE, HOST};
@@ -130,7 +130,7 @@
 }
 
 /// Cache events are hints: if they cannot be read, the next probe requests them again.
-async fn read_cache_update(address: &str, after: u64, state: &EdgeState) -> Option<CacheNews> {
+async fn read_cache_update(address: &str, after: u64, state: &EdgeState) -> Option<CacheUpdate> {
     let request = get_request(&format!("/cache-events?after={after}"));
     let reply = exchange(address, request, ConnectionChoice::Pooled, state).await?;
     match reply.status.is_success() {
--- a/crates/beechsaddle/src/router/router_setup.rs
+++ b/crates/beechsaddle/src/router/router_setup.rs
@@ -8,10 +8,10 @@
 use beechsaddle_core::admission::{AdmissionOptions, RetryOptions};
 use beechsaddle_core::calls::CallOptions;
 use beechsaddle_core::catalogue::CatalogueOptions;
+use beechsaddle_core::dedup::DedupOptions;
 use beechsaddle_core::hash::stable_hash;
 use beechsaddle_core::members::{MemberOptions, SeedPeer};
 use beechsaddle_core::objects::FleetLayout;
-use beechsaddle_core::once::OnceOptions;
 use beechsaddle_core::orders::OrderOptions;
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::report::{LogLevel, LogLine, ReportAction};
@@ -104,7 +104,7 @@
             },
             calls: CallOptions::default(),
             accounting: self.accounting(),
-            once: self.once(),
+            dedup: self.dedup(),
             members: self.members(),
             catalogue: self.catalogue(),
             targets: self.targets(),
@@ -141,11 +141,11 @@
         }
     }
 
-    fn once(&self) -> OnceOptions {
-        OnceOptions {
+    fn dedup(&self) -> DedupOptions {
+        DedupOptions {
             shard_count: self.settings.budgets.dedup_shards,
             retention_ms: self.settings.budgets.dedup_retention_ms,
-            ..OnceOptions::default()
+            ..DedupOptions::default()
         }
     }
 
--- a/crates/beechsaddle/tests/calls_probes.rs
+++ b/crates/beechsaddle/tests/calls_probes.rs
@@ -5,7 +5,7 @@
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::status::RouterStatus;
 use beechsaddle_core::target::{
-    CacheNews, EngineRole, EngineState, LoadReport, OrderOutcome, ProbeOutcome, TargetAction,
+    CacheUpdate, EngineRole, EngineState, LoadReport, OrderOutcome, ProbeOutcome, TargetAction,
     TargetEvent,
 };
 use calls_support::*;
@@ -84,7 +84,7 @@
             load,
             engine: Some(engine()),
         },
-        cache: Some(CacheNews {
+        cache: Some(CacheUpdate {
             first: 4,
             next: 6,
             added: vec![7],
--- a/crates/beechsaddle/tests/peers_exchange.rs
+++ b/crates/beechsaddle/tests/peers_exchange.rs
@@ -8,8 +8,8 @@
 };
 use beechsaddle_core::members::HostState;
 use beechsaddle_core::peer::{
-    AdmitRequest, CallProgress, LimitUse, PeerMessage, RecordRequest, RouterNews, SettleRequest,
-    TargetNews, WitnessNote,
+    AdmitRequest, CallProgress, LimitUse, PeerMessage, RecordRequest, RouterUpdate, SettleRequest,
+    TargetUpdate, WitnessNote,
 };
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::target::{EngineRole, EngineState, LoadReport};
@@ -40,7 +40,7 @@
 
 fn full_heartbeat() -> PeerMessage {
     let mut heartbeat = heartbeat(9);
-    heartbeat.targets.push(TargetNews {
+    heartbeat.targets.push(TargetUpdate {
         target: "pool-1".into(),
         epoch: 2,
         state: HostState::Leaving,
@@ -67,7 +67,7 @@
         requests: 2,
         tokens: 3,
     });
-    heartbeat.routers.push(RouterNews {
+    heartbeat.routers.push(RouterUpdate {
         router: RouterIncarnation::new("host-l", 5),
         domain: "leoben".into(),
         address: "127.0.0.1:4001".to_owned(),
