--- a/crates/beechsaddle-lab/src/soak/call_book.rs
+++ b/crates/beechsaddle-lab/src/soak/call_book.rs
@@ -217,16 +217,16 @@
         ));
     }
     if !call.kind.is_stream() {
-        let is_right = !reply.is_whole || reply.body == seal;
+        let is_right = !reply.is_complete || reply.body == seal;
         return (!is_right).then(|| format!("{id} got a wrong body: {reply:?}"));
     }
     let seen = call.events();
     let is_in_order = seen.iter().copied().eq(1..=seen.len() as u64);
     let is_complete = seen.len() as u64 == events;
-    (!is_in_order || (reply.is_whole && !is_complete)).then(|| {
+    (!is_in_order || (reply.is_complete && !is_complete)).then(|| {
         format!(
             "{id} got the events {seen:?} of {events}, whole: {}",
-            reply.is_whole
+            reply.is_complete
         )
     })
 }
--- a/crates/beechsaddle-lab/src/soak/call_load.rs
+++ b/crates/beechsaddle-lab/src/soak/call_load.rs
@@ -90,7 +90,7 @@
         let mut goes_on = false;
         match answer {
             Ok(Ok(reply)) => {
-                goes_on = reply.is_whole && !reply.headers.contains_key("connection");
+                goes_on = reply.is_complete && !reply.headers.contains_key("connection");
                 call.reply = Some(reply);
             }
             Ok(Err(error)) if error.kind() == std::io::ErrorKind::InvalidData => {
--- a/crates/beechsaddle-lab/src/soak/calm_checks.rs
+++ b/crates/beechsaddle-lab/src/soak/calm_checks.rs
@@ -194,7 +194,7 @@
 
 fn is_whole_stream(reply: &CallReply) -> bool {
     let events = reply.body.matches("data: piece").count() as u64;
-    reply.status == 200 && reply.is_whole && events == EVENTS
+    reply.status == 200 && reply.is_complete && events == EVENTS
 }
 
 fn extra_call(kind: SoakKind, number: usize) -> CallRequest {
--- a/crates/beechsaddle-lab/src/soak/fault_plan.rs
+++ b/crates/beechsaddle-lab/src/soak/fault_plan.rs
@@ -148,7 +148,7 @@
     match random.random_range(0..4) {
         0 => StoreFault::Refusing,
         1 => StoreFault::Silent,
-        2 => StoreFault::AnswersLost,
+        2 => StoreFault::LostResponses,
         _ => StoreFault::LateWrites(random.random_range(200..2_500)),
     }
 }
@@ -157,12 +157,12 @@
     match random.random_range(0..9) {
         0 => TargetFault::Full,
         1 => TargetFault::Failing,
-        2 => TargetFault::Cutting,
+        2 => TargetFault::Disconnecting,
         3 => TargetFault::Silent,
         4 => TargetFault::WrongId,
-        5 => TargetFault::SecondAnswer,
-        6 => TargetFault::HalfAnswer,
+        5 => TargetFault::SurplusResponse,
+        6 => TargetFault::TruncatedResponse,
         7 => TargetFault::Unsealed,
-        _ => TargetFault::CutEvents(random.random_range(0..5)),
+        _ => TargetFault::TruncatedStream(random.random_range(0..5)),
     }
 }
--- a/crates/beechsaddle-lab/src/soak/soak_target.rs
+++ b/crates/beechsaddle-lab/src/soak/soak_target.rs
@@ -38,7 +38,7 @@
         zone: &'static str,
     ) -> eyre::Result<Self> {
         let stand_in = TargetStandIn::try_start(name).await?;
-        stand_in.set_work(Duration::from_millis(5));
+        stand_in.set_response_delay(Duration::from_millis(5));
         stand_in.set_events(EVENTS, EVENT_GAP);
         stand_in.crash_on(CRASH_MARK);
         let path = FaultProxy::try_start(stand_in.address()).await?;
--- a/crates/beechsaddle-link/src/http_link.rs
+++ b/crates/beechsaddle-link/src/http_link.rs
@@ -1,4 +1,4 @@
-//! The `http_link` module provides one connection to an HTTP server.
+//! The `http_link` module provides a single connection to an HTTP server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,38 +17,38 @@
 
 use crate::LinkFailure;
 
-/// How many questions of a silent connection may stay unanswered. The limit on unacknowledged bytes
-/// ends it first where that is shorter.
-const KEEPALIVE_TRIES: u32 = 2;
+/// How many TCP keepalive probes may stay unanswered before the connection is closed. A shorter
+/// `unacknowledged_timeout` closes it earlier.
+const KEEPALIVE_PROBES: u32 = 2;
 
-/// How connections are made.
+/// Timeouts and limits of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkOptions {
-    /// How long one try to connect may go alone. After it the next one begins, and the last one ends
-    /// them all.
+    /// The time between the starts of two connection attempts. After the last one, connecting fails
+    /// once this time has passed.
     pub connect_timeout: Duration,
-    /// How many tries there are. The tries before the last go on beside it: on a path that was cut
-    /// and is whole again a new try is faster, since the old one asks again after a second only; on a
-    /// crowded path an old one is, since every new one waits in the same queue from its end.
-    pub connect_tries: u32,
-    /// How long written bytes may stay unacknowledged. A cut drops packets without a word, and the
-    /// system by itself goes on trying for a quarter of an hour.
+    /// The number of connection attempts. Earlier attempts continue in parallel: after a network
+    /// cut a new attempt connects faster, since an old one retransmits its SYN only after a second;
+    /// on a congested path an old one does, since every new SYN joins the end of the same queue.
+    pub connect_attempts: u32,
+    /// How long written bytes may stay unacknowledged. A network cut drops packets silently, and by
+    /// default the operating system retransmits for a quarter of an hour.
     pub unacknowledged_timeout: Duration,
-    /// How long a connection may stay silent before its peer's host is asked whether it is still
-    /// there, in whole seconds as the system counts them; `None` never asks. It matters where an
-    /// answer may rightly take long: a connection whose packets are dropped looks the same.
+    /// The idle time after which TCP keepalive probes the peer, in whole seconds as the operating
+    /// system requires; `None` disables it. Needed where a response may legitimately take long,
+    /// since a connection whose packets are dropped looks the same.
     pub keepalive: Option<Duration>,
-    /// The largest head of an answer, in bytes.
+    /// The maximum size of a response head, in bytes; at least 8,192.
     pub head_bytes: usize,
 }
 
 impl Default for LinkOptions {
-    /// For servers in the same region: some hundred times the usual round trip to connect, and six
-    /// retransmissions of written bytes.
+    /// For servers in the same region: about a hundred times the usual round trip to connect, and
+    /// six retransmissions of written bytes.
     fn default() -> Self {
         LinkOptions {
             connect_timeout: Duration::from_millis(350),
-            connect_tries: 1,
+            connect_attempts: 1,
             unacknowledged_timeout: Duration::from_millis(1_500),
             keepalive: None,
             head_bytes: 65_536,
@@ -56,8 +56,8 @@
     }
 }
 
-/// One connection. Dropping it closes it at once, whatever is under way: the server sees that the
-/// caller has gone and can stop its work.
+/// A connection. Dropping it closes the connection at once, even during a request, so that the
+/// server can cancel its work.
 #[derive(Debug)]
 pub struct HttpLink {
     sender: SendRequest<Full<Bytes>>,
@@ -65,17 +65,18 @@
 }
 
 impl HttpLink {
-    /// Connects.
+    /// Connects to a server.
     ///
     /// # Errors
     ///
-    /// [`LinkFailure::Connect`] or [`LinkFailure::ConnectTimeout`].
+    /// [`LinkFailure::Connect`] or [`LinkFailure::ConnectTimeout`]; [`LinkFailure::NotSent`] if the
+    /// HTTP handshake fails.
     pub async fn try_connect(
         address: SocketAddr,
         options: LinkOptions,
     ) -> Result<HttpLink, LinkFailure> {
         let stream = connect(address, &options).await?;
-        // A request is written at once, whole; waiting to fill a packet would only delay it.
+        // Requests are written in one piece; Nagle's algorithm would only delay them.
         stream.set_nodelay(true).map_err(LinkFailure::Connect)?;
         set_timeouts(&stream, &options).map_err(LinkFailure::Connect)?;
         let mut builder = http1::Builder::new();
@@ -85,18 +86,18 @@
             .await
             .map_err(LinkFailure::NotSent)?;
         let task = tokio::spawn(async move {
-            // Its error also reaches the request that is under way, which tells of it. Without one
-            // the link is found closed before it is used again.
+            // A pending request receives the error as well. Without one, `is_ready` reports the
+            // closed connection before the next use.
             let _ = connection.await;
         });
         Ok(HttpLink { sender, task })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// [`LinkFailure::NotSent`] or [`LinkFailure::Unanswered`]; the link is of no use then.
+    /// [`LinkFailure::NotSent`] or [`LinkFailure::Unanswered`]; the link cannot be used afterwards.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -114,18 +115,19 @@
         }
     }
 
-    /// Whether a request could be sent now.
+    /// Whether a request can be sent now.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready() && !self.task.is_finished()
     }
 }
 
-/// Connects by the first of some tries that succeeds. A refusal ends them: somebody answered.
+/// Connects with the first attempt that succeeds. An error, such as a refused connection, ends all
+/// attempts, since the peer has responded.
 async fn connect(address: SocketAddr, options: &LinkOptions) -> Result<TcpStream, LinkFailure> {
-    let mut tries = FuturesUnordered::new();
-    for _ in 0..options.connect_tries.max(1) {
-        tries.push(TcpStream::connect(address));
-        match timeout(options.connect_timeout, tries.next()).await {
+    let mut attempts = FuturesUnordered::new();
+    for _ in 0..options.connect_attempts.max(1) {
+        attempts.push(TcpStream::connect(address));
+        match timeout(options.connect_timeout, attempts.next()).await {
             Ok(Some(Ok(stream))) => return Ok(stream),
             Ok(Some(Err(error))) => return Err(LinkFailure::Connect(error)),
             Ok(None) | Err(_) => {}
@@ -134,17 +136,17 @@
     Err(LinkFailure::ConnectTimeout)
 }
 
-/// Has the system end a connection whose peer does not acknowledge, or is not there any more.
+/// Sets the socket options that close a connection whose peer stops acknowledging or is gone.
 fn set_timeouts(stream: &TcpStream, options: &LinkOptions) -> std::io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(options.unacknowledged_timeout))?;
-    let Some(silence) = options.keepalive else {
+    let Some(idle_time) = options.keepalive else {
         return Ok(());
     };
     let keepalive = TcpKeepalive::new()
-        .with_time(silence)
-        .with_interval(silence)
-        .with_retries(KEEPALIVE_TRIES);
+        .with_time(idle_time)
+        .with_interval(idle_time)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)
 }
 
--- a/crates/beechsaddle-link/src/lib.rs
+++ b/crates/beechsaddle-link/src/lib.rs
@@ -1,7 +1,7 @@
 //! Connections of a beechsaddle router to HTTP servers.
 //!
-//! A link is one connection that carries one request at a time, and tells of each failure whether
-//! the server may have seen the request. Nothing is ever sent twice.
+//! A link is a connection that carries one request at a time. Each failure states whether the
+//! server may have received the request. Requests are never sent twice.
 
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
--- a/crates/beechsaddle-link/src/link_failure.rs
+++ b/crates/beechsaddle-link/src/link_failure.rs
@@ -1,22 +1,22 @@
-//! The `link_failure` module provides what went wrong on a link.
+//! The `link_failure` module provides the failures of links.
 
 use std::fmt;
 
-/// What went wrong, by what it says of the request.
+/// Why a connection or request failed, by what it implies for the request.
 #[derive(Debug)]
 pub enum LinkFailure {
-    /// No connection was made; nothing was sent.
+    /// Connecting failed; nothing was sent.
     Connect(std::io::Error),
-    /// No connection was made in time; nothing was sent.
+    /// Connecting timed out; nothing was sent.
     ConnectTimeout,
-    /// The connection was lost before anything of the request was written.
+    /// The connection was lost before any byte of the request was written.
     NotSent(hyper::Error),
-    /// The connection was lost after the request may have been written. It may run.
+    /// The connection was lost after the request may have been written. The server may run it.
     Unanswered(hyper::Error),
 }
 
 impl LinkFailure {
-    /// Whether the server certainly got nothing of the request.
+    /// Whether the server cannot have received any byte of the request.
     pub fn is_unsent(&self) -> bool {
         match self {
             LinkFailure::Connect(_) | LinkFailure::ConnectTimeout | LinkFailure::NotSent(_) => true,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A word for logs and counters.
+    /// Returns the name in logs and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
             LinkFailure::Connect(_) => "connect_failed",
@@ -40,8 +40,11 @@
         match self {
             LinkFailure::Connect(error) => write!(formatter, "connect failed: {error}"),
             LinkFailure::ConnectTimeout => formatter.write_str("connect timed out"),
-            LinkFailure::NotSent(error) => write!(formatter, "closed before the request: {error}"),
-            LinkFailure::Unanswered(error) => write!(formatter, "no whole answer: {error}"),
+            LinkFailure::NotSent(error) => write!(
+                formatter,
+                "connection closed before the request was sent: {error}"
+            ),
+            LinkFailure::Unanswered(error) => write!(formatter, "no complete response: {error}"),
         }
     }
 }
--- a/crates/beechsaddle-link/tests/staggered_connects.rs
+++ b/crates/beechsaddle-link/tests/staggered_connects.rs
@@ -1,4 +1,4 @@
-//! Tests of connecting by several tries.
+//! Tests of connecting with several staggered attempts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,8 +8,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// A listener whose queue is full, so that the system drops what asks for a connection; and the
-/// connections that fill it.
+/// Returns a listener with a full accept queue, so that the operating system drops further SYNs,
+/// and the connections that fill the queue.
 async fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let address: SocketAddr = "127.0.0.1:0".parse().expect("an address");
@@ -27,26 +27,26 @@
     (listener, held)
 }
 
-fn options(tries: u32) -> LinkOptions {
+fn options(attempts: u32) -> LinkOptions {
     LinkOptions {
         connect_timeout: Duration::from_millis(150),
-        connect_tries: tries,
+        connect_attempts: attempts,
         ..LinkOptions::default()
     }
 }
 
 #[tokio::test]
-async fn connect_gives_up_after_its_tries() {
+async fn connect_times_out_after_last_attempt() {
     let (listener, _held) = full_listener().await;
     let address = listener.local_addr().expect("its address");
     let linked = HttpLink::try_connect(address, options(2)).await;
     assert!(matches!(linked, Err(LinkFailure::ConnectTimeout)));
 }
 
-/// The way to a server is cut when a router connects, and whole again soon after. The system asks
-/// again after a second; another try is through at once.
+/// The path to a server is cut when a router connects and restored soon after. The operating system
+/// retransmits the SYN only after a second; a new attempt must connect before that.
 #[tokio::test]
-async fn connect_later_try_is_through_first() {
+async fn connect_later_attempt_succeeds_first() {
     let (listener, held) = full_listener().await;
     let address = listener.local_addr().expect("its address");
     let connecting = tokio::spawn(HttpLink::try_connect(address, options(4)));
@@ -58,9 +58,10 @@
     assert!(linked.expect("in time").expect("a task").is_ok());
 }
 
-/// Nobody listens. The refusal is the answer, and nothing is tried again.
+/// No process listens on the port. The refused connection must be reported at once, without further
+/// attempts.
 #[tokio::test]
-async fn connect_refused_is_not_tried_again() {
+async fn connect_refused_is_not_retried() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("its address");
     drop(listener);
--- a/crates/beechsaddle-wire/src/error.rs
+++ b/crates/beechsaddle-wire/src/error.rs
@@ -1,50 +1,47 @@
-//! The `error` module provides the errors of all codecs.
+//! The `error` module provides the error type of all codecs.
 
 use std::fmt;
 
-/// What a codec cannot do.
+/// Why a value cannot be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WireError {
-    /// The encoded value is larger than the limit, in bytes.
+    /// The encoded value exceeds the limit, in bytes.
     TooLarge {
-        /// How large it is.
+        /// The size of the value.
         size: usize,
-        /// How large it may be.
+        /// The maximum size.
         limit: usize,
     },
-    /// A list has more items than the limit.
+    /// A list exceeds the limit on its number of items.
     TooMany {
-        /// How many it has.
+        /// The number of items.
         count: usize,
-        /// How many it may have.
+        /// The maximum number of items.
         limit: usize,
     },
-    /// A name that stands for something is empty.
+    /// A required name is empty.
     EmptyName,
     /// The value cannot be encoded.
     Encode(String),
     /// The bytes are not the encoding of a value.
     Decode(String),
-    /// Bytes follow the value.
+    /// This many bytes follow the encoded value.
     TrailingBytes(usize),
 }
 
-/// The outcome of a codec.
+/// The result type of all codecs.
 pub type Result<T> = std::result::Result<T, WireError>;
 
 impl fmt::Display for WireError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             WireError::TooLarge { size, limit } => {
-                write!(formatter, "{size} bytes are more than the limit of {limit}")
+                write!(formatter, "{size} bytes exceed the limit of {limit}")
             }
             WireError::TooMany { count, limit } => {
-                write!(
-                    formatter,
-                    "{count} items are more than the limit of {limit}"
-                )
+                write!(formatter, "{count} items exceed the limit of {limit}")
             }
-            WireError::EmptyName => formatter.write_str("a name is empty"),
+            WireError::EmptyName => formatter.write_str("a required name is empty"),
             WireError::Encode(reason) => write!(formatter, "cannot encode: {reason}"),
             WireError::Decode(reason) => write!(formatter, "cannot decode: {reason}"),
             WireError::TrailingBytes(count) => {
--- a/crates/beechsaddle-wire/src/lib.rs
+++ b/crates/beechsaddle-wire/src/lib.rs
@@ -1,11 +1,11 @@
-//! Codecs of beechsaddle: platform objects and messages between routers.
+//! Codecs for the objects on the platform and for messages between routers.
 
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
 
 mod error;
 
-/// Generated from `schema/lending.capnp`; `docs/PEERS.md` says how. Not formatted and not linted.
+/// Generated from `schema/lending.capnp`; see `docs/PEERS.md`. Not formatted and not linted.
 #[rustfmt::skip]
 #[allow(clippy::all, missing_docs, rust_2018_idioms, unused_qualifications)]
 pub mod lending_capnp;
@@ -13,7 +13,7 @@
 pub mod peer;
 mod platform_codec;
 
-/// Generated from `schema/peer.capnp`; `docs/PEERS.md` says how. Not formatted and not linted.
+/// Generated from `schema/peer.capnp`; see `docs/PEERS.md`. Not formatted and not linted.
 #[rustfmt::skip]
 #[allow(clippy::all, missing_docs, rust_2018_idioms, unused_qualifications)]
 pub mod peer_capnp;
--- a/crates/beechsaddle-wire/src/peer/admission_codec.rs
+++ b/crates/beechsaddle-wire/src/peer/admission_codec.rs
@@ -1,4 +1,4 @@
-//! The `admission_codec` module provides what routers tell each other of calls and budgets.
+//! The `admission_codec` module provides the encoding of messages about calls and budgets.
 
 use beechsaddle_core::names::{CallId, KeyText};
 use beechsaddle_core::peer::{
@@ -11,7 +11,7 @@
 use crate::error::Result;
 use crate::peer_capnp;
 
-/// Writes an admit request.
+/// Encodes an admit request.
 pub(super) fn write_admit(
     request: &AdmitRequest,
     mut builder: peer_capnp::admit_request::Builder<'_>,
@@ -23,7 +23,7 @@
     Ok(())
 }
 
-/// Reads an admit request.
+/// Decodes an admit request.
 pub(super) fn read_admit(reader: peer_capnp::admit_request::Reader<'_>) -> Result<AdmitRequest> {
     Ok(AdmitRequest {
         call: read_call(reader.get_call()?)?,
@@ -33,7 +33,7 @@
     })
 }
 
-/// Writes the usage of running calls.
+/// Encodes the usage of running calls.
 pub(super) fn write_progress(
     calls: &[CallProgress],
     mut builder: capnp::struct_list::Builder<'_, peer_capnp::call_progress::Owned>,
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-/// Reads the usage of running calls.
+/// Decodes the usage of running calls.
 pub(super) fn read_progress(
     list: capnp::struct_list::Reader<'_, peer_capnp::call_progress::Owned>,
 ) -> Result<Vec<CallProgress>> {
@@ -61,7 +61,7 @@
         .collect()
 }
 
-/// Writes call ids.
+/// Encodes call ids.
 pub(super) fn write_calls(
     calls: &[CallId],
     mut builder: capnp::struct_list::Builder<'_, peer_capnp::call_name::Owned>,
@@ -72,7 +72,7 @@
     Ok(())
 }
 
-/// Reads call ids.
+/// Decodes call ids.
 pub(super) fn read_calls(
     list: capnp::struct_list::Reader<'_, peer_capnp::call_name::Owned>,
 ) -> Result<Vec<CallId>> {
@@ -80,7 +80,7 @@
     list.iter().map(read_call).collect()
 }
 
-/// Writes a settle request.
+/// Encodes a settle request.
 pub(super) fn write_settle(
     request: &SettleRequest,
     mut builder: peer_capnp::settle_request::Builder<'_>,
@@ -98,7 +98,7 @@
     Ok(())
 }
 
-/// Reads a settle request.
+/// Decodes a settle request.
 pub(super) fn read_settle(reader: peer_capnp::settle_request::Reader<'_>) -> Result<SettleRequest> {
     Ok(SettleRequest {
         call: read_call(reader.get_call()?)?,
@@ -119,18 +119,18 @@
     }
 }
 
-/// Writes the copy of a call.
-pub(super) fn write_witness(
-    note: &WitnessNote,
+/// Encodes the usage of a call for its backup router.
+pub(super) fn write_usage_copy(
+    copy: &WitnessNote,
     mut builder: peer_capnp::witness_note::Builder<'_>,
 ) -> Result<()> {
-    builder.set_journal(check_name(note.journal.as_str())?);
-    builder.set_ended(note.ended);
-    write_settle(&note.settle, builder.init_settle())
+    builder.set_journal(check_name(copy.journal.as_str())?);
+    builder.set_ended(copy.ended);
+    write_settle(&copy.settle, builder.init_settle())
 }
 
-/// Reads the copy of a call.
-pub(super) fn read_witness(reader: peer_capnp::witness_note::Reader<'_>) -> Result<WitnessNote> {
+/// Decodes the usage of a call for its backup router.
+pub(super) fn read_usage_copy(reader: peer_capnp::witness_note::Reader<'_>) -> Result<WitnessNote> {
     Ok(WitnessNote {
         journal: read_name(reader.get_journal()?)?.into(),
         settle: read_settle(reader.get_settle()?)?,
@@ -138,7 +138,7 @@
     })
 }
 
-/// Writes a record request.
+/// Encodes a record request.
 pub(super) fn write_record(
     request: &RecordRequest,
     mut builder: peer_capnp::record_request::Builder<'_>,
@@ -147,7 +147,7 @@
     write_key(&request.key, builder.init_key())
 }
 
-/// Reads a record request.
+/// Decodes a record request.
 pub(super) fn read_record(reader: peer_capnp::record_request::Reader<'_>) -> Result<RecordRequest> {
     Ok(RecordRequest {
         call: read_call(reader.get_call()?)?,
--- a/crates/beechsaddle-wire/src/peer/catalogue_codec.rs
+++ b/crates/beechsaddle-wire/src/peer/catalogue_codec.rs
@@ -1,8 +1,9 @@
-//! The `catalogue_codec` module provides updates of the catalogue.
+//! The `catalogue_codec` module provides the encoding of catalogue updates.
 //!
-//! Changes and bases travel as the CBOR that the platform stores. They have many fields that grow
-//! with what operators may declare; a second description of them in the schema would have to be
-//! kept in step with the first, and a slip would give two routers two catalogues of one revision.
+//! Changes and bases are sent in the CBOR encoding in which the platform stores them. Their many
+//! fields grow with what operators may declare. A second description of them in the Cap'n Proto
+//! schema would have to be kept consistent with the first; a mistake would give two routers
+//! different catalogues of the same revision.
 
 use beechsaddle_core::catalogue::{CatalogueBase, CatalogueChange};
 use beechsaddle_core::objects::PlatformObject;
@@ -13,10 +14,10 @@
 use crate::peer_capnp;
 use crate::platform_codec::{decode_object, encode_object};
 
-/// How many entries go into one part, so that a part stays below the size of a stored object.
+/// Entries per part of a base, so that a part stays below the size limit of a stored object.
 const PART_ENTRIES: usize = 1_000;
 
-/// Writes an update.
+/// Encodes an update.
 pub(super) fn write_update(
     base: Option<&CatalogueBase>,
     changes: &[CatalogueChange],
@@ -39,7 +40,7 @@
     Ok(())
 }
 
-/// Reads an update.
+/// Decodes an update.
 pub(super) fn read_update(
     reader: peer_capnp::catalogue_update::Reader<'_>,
 ) -> Result<(Option<Box<CatalogueBase>>, Vec<CatalogueChange>)> {
@@ -81,26 +82,28 @@
         let part = read_part(item?)?;
         match &mut base {
             None => base = Some(part),
-            // Parts of two revisions joined would be a catalogue that nobody ever declared.
+            // Joined parts of two revisions would form a catalogue that was never declared.
             Some(base) if base.revision != part.revision => {
-                return Err(WireError::Decode("parts of two bases".to_owned()));
+                return Err(WireError::Decode(
+                    "base has parts of two revisions".to_owned(),
+                ));
             }
             Some(base) => base.entries.extend(part.entries),
         }
     }
-    base.ok_or_else(|| WireError::Decode("a base without parts".to_owned()))
+    base.ok_or_else(|| WireError::Decode("base has no parts".to_owned()))
 }
 
 fn read_part(bytes: &[u8]) -> Result<CatalogueBase> {
     match decode_object(bytes)? {
         PlatformObject::Base(part) => Ok(part),
-        _ => Err(WireError::Decode("no part of a base".to_owned())),
+        _ => Err(WireError::Decode("not a part of a base".to_owned())),
     }
 }
 
 fn read_change(bytes: &[u8]) -> Result<CatalogueChange> {
     match decode_object(bytes)? {
         PlatformObject::Change(change) => Ok(change),
-        _ => Err(WireError::Decode("no change of the catalogue".to_owned())),
+        _ => Err(WireError::Decode("not a catalogue change".to_owned())),
     }
 }
--- a/crates/beechsaddle-wire/src/peer/engine_codec.rs
+++ b/crates/beechsaddle-wire/src/peer/engine_codec.rs
@@ -1,4 +1,4 @@
-//! The `engine_codec` module provides what a prober saw of a target.
+//! The `engine_codec` module provides the encoding of targets' load and engine state.
 
 use beechsaddle_core::target::{EngineRole, EngineState, LoadReport};
 
@@ -7,7 +7,7 @@
 use crate::error::Result;
 use crate::peer_capnp;
 
-/// Writes a load into the news of its target.
+/// Encodes the load into the update of its target.
 pub(super) fn write_load(load: &LoadReport, builder: &mut peer_capnp::target_news::Builder<'_>) {
     builder.set_has_load(true);
     builder.set_running(load.running);
@@ -15,7 +15,7 @@
     builder.set_cache_permille(load.cache_permille);
 }
 
-/// Reads the load from the news of its target.
+/// Decodes the load from the update of its target.
 pub(super) fn read_load(reader: peer_capnp::target_news::Reader<'_>) -> Option<LoadReport> {
     reader.get_has_load().then(|| LoadReport {
         running: reader.get_running(),
@@ -24,7 +24,7 @@
     })
 }
 
-/// Writes what an engine serves.
+/// Encodes what an engine serves.
 pub(super) fn write_engine(
     engine: &EngineState,
     mut builder: peer_capnp::engine_state::Builder<'_>,
@@ -47,7 +47,7 @@
     Ok(())
 }
 
-/// Reads what an engine serves.
+/// Decodes what an engine serves.
 pub(super) fn read_engine(reader: peer_capnp::engine_state::Reader<'_>) -> Result<EngineState> {
     let list = reader.get_adapters()?;
     check_count(list.len() as usize, ADAPTERS_MAX)?;
--- a/crates/beechsaddle-wire/src/peer/heartbeat_codec.rs
+++ b/crates/beechsaddle-wire/src/peer/heartbeat_codec.rs
@@ -1,4 +1,4 @@
-//! The `heartbeat_codec` module provides heartbeats and the news in them.
+//! The `heartbeat_codec` module provides the encoding of heartbeats and the updates in them.
 
 use beechsaddle_core::catalogue::{EntryId, EntryKind};
 use beechsaddle_core::members::HostState;
@@ -7,12 +7,12 @@
 
 use super::engine_codec::{read_engine, read_load, write_engine, write_load};
 use super::identity_codec::{read_incarnation, write_incarnation};
-use super::limits::NEWS_MAX;
+use super::limits::UPDATES_MAX;
 use super::text_codec::{check_count, check_name, check_text, read_name, read_text};
 use crate::error::Result;
 use crate::peer_capnp;
 
-/// Writes a heartbeat.
+/// Encodes a heartbeat.
 pub(super) fn write_heartbeat(
     heartbeat: &PeerHeartbeat,
     mut builder: peer_capnp::heartbeat::Builder<'_>,
@@ -34,7 +34,7 @@
     write_routers(&heartbeat.routers, &mut builder)
 }
 
-/// Reads a heartbeat.
+/// Decodes a heartbeat.
 pub(super) fn read_heartbeat(reader: peer_capnp::heartbeat::Reader<'_>) -> Result<PeerHeartbeat> {
     Ok(PeerHeartbeat {
         domain: read_name(reader.get_domain()?)?.into(),
@@ -68,7 +68,7 @@
     }
 }
 
-// An empty list is left out altogether: a heartbeat without news is the one that is sent most.
+// Empty lists are omitted: most heartbeats carry no updates.
 fn write_targets(
     targets: &[TargetUpdate],
     builder: &mut peer_capnp::heartbeat::Builder<'_>,
@@ -76,22 +76,22 @@
     if targets.is_empty() {
         return Ok(());
     }
-    let count = check_count(targets.len(), NEWS_MAX)?;
+    let count = check_count(targets.len(), UPDATES_MAX)?;
     let mut list = builder.reborrow().init_targets(count);
-    for (index, news) in (0..count).zip(targets) {
+    for (index, update) in (0..count).zip(targets) {
         let mut item = list.reborrow().get(index);
-        item.set_target(check_name(news.target.as_str())?);
-        item.set_epoch(news.epoch);
-        item.set_state(match news.state {
+        item.set_target(check_name(update.target.as_str())?);
+        item.set_epoch(update.epoch);
+        item.set_state(match update.state {
             HostState::Live => peer_capnp::HostState::Live,
             HostState::Leaving => peer_capnp::HostState::Leaving,
             HostState::Down => peer_capnp::HostState::Down,
         });
-        item.set_sequence(news.sequence);
-        if let Some(load) = &news.load {
+        item.set_sequence(update.sequence);
+        if let Some(load) = &update.load {
             write_load(load, &mut item);
         }
-        if let Some(engine) = &news.engine {
+        if let Some(engine) = &update.engine {
             write_engine(engine, item.init_engine())?;
         }
     }
@@ -100,7 +100,7 @@
 
 fn read_targets(reader: peer_capnp::heartbeat::Reader<'_>) -> Result<Vec<TargetUpdate>> {
     let list = reader.get_targets()?;
-    check_count(list.len() as usize, NEWS_MAX)?;
+    check_count(list.len() as usize, UPDATES_MAX)?;
     list.iter().map(read_target).collect()
 }
 
@@ -129,7 +129,7 @@
     if limits.is_empty() {
         return Ok(());
     }
-    let count = check_count(limits.len(), NEWS_MAX)?;
+    let count = check_count(limits.len(), UPDATES_MAX)?;
     let mut list = builder.reborrow().init_limits(count);
     for (index, limit) in (0..count).zip(limits) {
         let mut item = list.reborrow().get(index);
@@ -149,7 +149,7 @@
 
 fn read_limits(reader: peer_capnp::heartbeat::Reader<'_>) -> Result<Vec<LimitUse>> {
     let list = reader.get_limits()?;
-    check_count(list.len() as usize, NEWS_MAX)?;
+    check_count(list.len() as usize, UPDATES_MAX)?;
     list.iter().map(read_limit).collect()
 }
 
@@ -177,22 +177,22 @@
     if routers.is_empty() {
         return Ok(());
     }
-    let count = check_count(routers.len(), NEWS_MAX)?;
+    let count = check_count(routers.len(), UPDATES_MAX)?;
     let mut list = builder.reborrow().init_routers(count);
-    for (index, news) in (0..count).zip(routers) {
+    for (index, update) in (0..count).zip(routers) {
         let mut item = list.reborrow().get(index);
-        write_incarnation(&news.router, item.reborrow().init_router())?;
-        item.set_domain(check_name(news.domain.as_str())?);
-        item.set_address(check_text(&news.address)?);
-        item.set_catalogue_revision(news.catalogue_revision);
-        item.set_age_ms(news.age_ms);
+        write_incarnation(&update.router, item.reborrow().init_router())?;
+        item.set_domain(check_name(update.domain.as_str())?);
+        item.set_address(check_text(&update.address)?);
+        item.set_catalogue_revision(update.catalogue_revision);
+        item.set_age_ms(update.age_ms);
     }
     Ok(())
 }
 
 fn read_routers(reader: peer_capnp::heartbeat::Reader<'_>) -> Result<Vec<RouterUpdate>> {
     let list = reader.get_routers()?;
-    check_count(list.len() as usize, NEWS_MAX)?;
+    check_count(list.len() as usize, UPDATES_MAX)?;
     list.iter().map(read_router).collect()
 }
 
--- a/crates/beechsaddle-wire/src/peer/hello_codec.rs
+++ b/crates/beechsaddle-wire/src/peer/hello_codec.rs
@@ -1,4 +1,4 @@
-//! The `hello_codec` module provides the handshake between routers.
+//! The `hello_codec` module provides the encoding of the handshake between routers.
 
 use beechsaddle_core::names::RouterIncarnation;
 
@@ -6,35 +6,35 @@
 use crate::error::{Result, WireError};
 use crate::peer_capnp;
 
-/// How many random bytes each side adds to the handshake, so that none can be replayed.
+/// The size of each side's random nonce, which prevents replays of a handshake.
 pub const NONCE_BYTES: usize = 32;
 
-/// How many bytes a proof has: those of HMAC-SHA256.
+/// The size of a proof, which is an HMAC-SHA256.
 pub const PROOF_BYTES: usize = 32;
 
-/// How a connection is opened.
+/// The first message on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerHello {
-    /// The router that opens it.
+    /// The router that opens the connection.
     pub sender: RouterIncarnation,
-    /// The router that it means to reach; epoch zero for whichever life of that host listens.
+    /// The intended router; epoch zero stands for any incarnation on that host.
     pub receiver: RouterIncarnation,
-    /// Random bytes of the sender.
+    /// The sender's nonce.
     pub nonce: [u8; NONCE_BYTES],
 }
 
-/// The answer to a hello.
+/// The reply to a hello.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerChallenge {
-    /// The router that answers.
+    /// The router that replies.
     pub receiver: RouterIncarnation,
-    /// Random bytes of the receiver.
+    /// The receiver's nonce.
     pub nonce: [u8; NONCE_BYTES],
-    /// That the receiver knows the secret.
+    /// Proves that the receiver knows the shared secret.
     pub proof: [u8; PROOF_BYTES],
 }
 
-/// Writes a hello.
+/// Encodes a hello.
 pub fn write_hello(hello: &PeerHello, mut builder: peer_capnp::hello::Builder<'_>) -> Result<()> {
     write_incarnation(&hello.sender, builder.reborrow().init_sender())?;
     write_incarnation(&hello.receiver, builder.reborrow().init_receiver())?;
@@ -42,7 +42,7 @@
     Ok(())
 }
 
-/// Reads a hello.
+/// Decodes a hello.
 pub fn read_hello(reader: peer_capnp::hello::Reader<'_>) -> Result<PeerHello> {
     Ok(PeerHello {
         sender: read_incarnation(reader.get_sender()?)?,
@@ -51,7 +51,7 @@
     })
 }
 
-/// Writes the answer to a hello.
+/// Encodes the reply to a hello.
 pub fn write_challenge(
     challenge: &PeerChallenge,
     mut builder: peer_capnp::challenge::Builder<'_>,
@@ -62,7 +62,7 @@
     Ok(())
 }
 
-/// Reads the answer to a hello.
+/// Decodes the reply to a hello.
 pub fn read_challenge(reader: peer_capnp::challenge::Reader<'_>) -> Result<PeerChallenge> {
     Ok(PeerChallenge {
         receiver: read_incarnation(reader.get_receiver()?)?,
@@ -71,7 +71,7 @@
     })
 }
 
-/// Reads a proof; one of another length is an error.
+/// Decodes a proof; fails if its length is not [`PROOF_BYTES`].
 pub fn read_proof(bytes: &[u8]) -> Result<[u8; PROOF_BYTES]> {
     read_array(bytes)
 }
@@ -79,5 +79,5 @@
 fn read_array<const LENGTH: usize>(bytes: &[u8]) -> Result<[u8; LENGTH]> {
     bytes
         .try_into()
-        .map_err(|_| WireError::Decode(format!("{} bytes in place of {LENGTH}", bytes.len())))
+        .map_err(|_| WireError::Decode(format!("got {} bytes, expected {LENGTH}", bytes.len())))
 }
--- a/crates/beechsaddle-wire/src/peer/hosts_codec.rs
+++ b/crates/beechsaddle-wire/src/peer/hosts_codec.rs
@@ -1,4 +1,5 @@
-//! The `hosts_codec` module provides lists of hosts, as the CBOR that the platform stores.
+//! The `hosts_codec` module provides the encoding of host lists, in the CBOR that the platform
+//! stores.
 
 use beechsaddle_core::members::HostList;
 use beechsaddle_core::objects::PlatformObject;
@@ -7,7 +8,7 @@
 use crate::peer_capnp;
 use crate::platform_codec::{decode_object, encode_object};
 
-/// Writes a list of hosts.
+/// Encodes a list of hosts.
 pub(super) fn write_hosts(
     version: u64,
     hosts: &HostList,
@@ -18,7 +19,7 @@
     Ok(())
 }
 
-/// Reads a list of hosts.
+/// Decodes a list of hosts.
 pub(super) fn read_hosts(reader: peer_capnp::hosts_update::Reader<'_>) -> Result<(u64, HostList)> {
     match decode_object(reader.get_hosts()?)? {
         PlatformObject::Hosts(hosts) => Ok((reader.get_version(), hosts)),
--- a/crates/beechsaddle-wire/src/peer/identity_codec.rs
+++ b/crates/beechsaddle-wire/src/peer/identity_codec.rs
@@ -1,4 +1,5 @@
-//! The `identity_codec` module provides incarnations, call ids and idempotency keys.
+//! The `identity_codec` module provides the encoding of incarnations, call ids and idempotency
+//! keys.
 
 use beechsaddle_core::names::{CallId, KeyOrigin, RequestKey, RouterIncarnation};
 
@@ -6,7 +7,7 @@
 use crate::error::Result;
 use crate::peer_capnp;
 
-/// Writes an incarnation.
+/// Encodes an incarnation.
 pub(super) fn write_incarnation(
     router: &RouterIncarnation,
     mut builder: peer_capnp::incarnation::Builder<'_>,
@@ -16,7 +17,7 @@
     Ok(())
 }
 
-/// Reads an incarnation.
+/// Decodes an incarnation.
 pub(super) fn read_incarnation(
     reader: peer_capnp::incarnation::Reader<'_>,
 ) -> Result<RouterIncarnation> {
@@ -24,7 +25,7 @@
     Ok(RouterIncarnation::new(host, reader.get_epoch()))
 }
 
-/// Writes a call id.
+/// Encodes a call id.
 pub(super) fn write_call(
     call: &CallId,
     mut builder: peer_capnp::call_name::Builder<'_>,
@@ -34,7 +35,7 @@
     Ok(())
 }
 
-/// Reads a call id.
+/// Decodes a call id.
 pub(super) fn read_call(reader: peer_capnp::call_name::Reader<'_>) -> Result<CallId> {
     Ok(CallId {
         router: read_incarnation(reader.get_router()?)?,
@@ -42,7 +43,7 @@
     })
 }
 
-/// Writes an idempotency key.
+/// Encodes an idempotency key.
 pub(super) fn write_key(
     key: &RequestKey,
     mut builder: peer_capnp::request_key::Builder<'_>,
@@ -56,7 +57,7 @@
     Ok(())
 }
 
-/// Reads an idempotency key.
+/// Decodes an idempotency key.
 pub(super) fn read_key(reader: peer_capnp::request_key::Reader<'_>) -> Result<RequestKey> {
     Ok(RequestKey {
         workspace: read_name(reader.get_workspace()?)?.into(),
--- a/crates/beechsaddle-wire/src/peer/message_codec.rs
+++ b/crates/beechsaddle-wire/src/peer/message_codec.rs
@@ -1,11 +1,11 @@
-//! The `message_codec` module provides one message between routers.
+//! The `message_codec` module provides the encoding of single messages between routers.
 
 use beechsaddle_core::peer::PeerMessage;
 use capnp::message::{Builder, HeapAllocator};
 
 use super::admission_codec::{
-    read_admit, read_calls, read_progress, read_record, read_settle, read_witness, write_admit,
-    write_calls, write_progress, write_record, write_settle, write_witness,
+    read_admit, read_calls, read_progress, read_record, read_settle, read_usage_copy, write_admit,
+    write_calls, write_progress, write_record, write_settle, write_usage_copy,
 };
 use super::catalogue_codec::{read_update, write_update};
 use super::heartbeat_codec::{read_heartbeat, write_heartbeat};
@@ -20,7 +20,7 @@
 use crate::error::{Result, WireError};
 use crate::peer_capnp::peer_message;
 
-/// Writes a message into a place in a larger one.
+/// Encodes a message as a part of a larger one.
 pub fn write_message(message: &PeerMessage, mut builder: peer_message::Builder<'_>) -> Result<()> {
     match message {
         PeerMessage::Heartbeat(heartbeat) => write_heartbeat(heartbeat, builder.init_heartbeat()),
@@ -55,7 +55,7 @@
         PeerMessage::CallUnknown { call, journal } => {
             write_unknown(call, journal, builder.init_call_unknown())
         }
-        PeerMessage::WitnessNote(note) => write_witness(note, builder.init_witness_note()),
+        PeerMessage::WitnessNote(copy) => write_usage_copy(copy, builder.init_witness_note()),
         PeerMessage::WitnessReply { call } => write_call(call, builder.init_witness_reply()),
         PeerMessage::RecordRequest(request) => write_record(request, builder.init_record_request()),
         PeerMessage::RecordReply { call, outcome } => {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Reads a message. One of a variant that this version does not know is an error.
+/// Decodes a message; fails on a variant that this version does not know.
 pub fn read_message(reader: peer_message::Reader<'_>) -> Result<PeerMessage> {
     Ok(match reader.which()? {
         peer_message::Heartbeat(heartbeat) => PeerMessage::Heartbeat(read_heartbeat(heartbeat?)?),
@@ -88,7 +88,7 @@
         peer_message::BillsDurable(calls) => PeerMessage::BillsDurable {
             calls: read_calls(calls?)?,
         },
-        peer_message::WitnessNote(note) => PeerMessage::WitnessNote(read_witness(note?)?),
+        peer_message::WitnessNote(copy) => PeerMessage::WitnessNote(read_usage_copy(copy?)?),
         peer_message::WitnessReply(call) => PeerMessage::WitnessReply {
             call: read_call(call?)?,
         },
@@ -109,7 +109,7 @@
     })
 }
 
-/// Builds a message of its own.
+/// Builds a standalone message; fails if it is larger than [`MESSAGE_BYTES_MAX`].
 pub fn build_message(message: &PeerMessage) -> Result<Builder<HeapAllocator>> {
     let mut builder = Builder::new_default();
     write_message(message, builder.init_root())?;
@@ -117,19 +117,19 @@
     Ok(builder)
 }
 
-/// Encodes a message by itself, unless it is larger than [`MESSAGE_BYTES_MAX`].
+/// Encodes a standalone message; fails if it is larger than [`MESSAGE_BYTES_MAX`].
 pub fn encode_message(message: &PeerMessage) -> Result<Vec<u8>> {
     let builder = build_message(message)?;
     Ok(capnp::serialize::write_message_to_words(&builder))
 }
 
-/// Decodes a message by itself. Bytes that hold anything else than one message are an error.
+/// Decodes a standalone message. The bytes have to hold exactly one message.
 pub fn decode_message(bytes: &[u8]) -> Result<PeerMessage> {
     check_size(bytes.len(), MESSAGE_BYTES_MAX)?;
-    let mut rest = bytes;
-    let message = capnp::serialize::read_message_from_flat_slice(&mut rest, reader_options())?;
-    if !rest.is_empty() {
-        return Err(WireError::TrailingBytes(rest.len()));
+    let mut remaining = bytes;
+    let message = capnp::serialize::read_message_from_flat_slice(&mut remaining, reader_options())?;
+    if !remaining.is_empty() {
+        return Err(WireError::TrailingBytes(remaining.len()));
     }
     read_message(message.get_root()?)
 }
--- a/crates/beechsaddle-wire/src/peer/message_size.rs
+++ b/crates/beechsaddle-wire/src/peer/message_size.rs
@@ -1,9 +1,9 @@
-//! The `message_size` module provides how large a message will be, without encoding it.
+//! The `message_size` module provides estimates of message sizes without encoding.
 
 use beechsaddle_core::peer::{PeerHeartbeat, PeerMessage};
 
-// Sizes with names of up to 24 bytes, in bytes. They bound queues, where half or twice as much does
-// not matter; the size of what is sent is checked when it is encoded.
+// Estimates in bytes, for names of up to 24 bytes. They bound queues, for which a factor of two
+// does not matter; the exact size of a message is checked when it is encoded.
 const MESSAGE_BYTES: usize = 256;
 const TARGET_BYTES: usize = 160;
 const LIMIT_BYTES: usize = 80;
@@ -12,7 +12,7 @@
 const HOST_BYTES: usize = 192;
 const ENTRY_BYTES: usize = 512;
 
-/// About how many bytes a message will have.
+/// Returns the estimated encoded size of a message, in bytes.
 pub fn message_bytes_hint(message: &PeerMessage) -> usize {
     MESSAGE_BYTES + list_bytes(message)
 }
--- a/crates/beechsaddle-wire/src/peer/mod.rs
+++ b/crates/beechsaddle-wire/src/peer/mod.rs
@@ -1,8 +1,7 @@
-//! The `peer` module provides the Cap'n Proto form of the messages between routers.
+//! The `peer` module provides the Cap'n Proto encoding of the messages between routers.
 //!
-//! Reading checks the size of every text and the length of every list. What is read comes from a
-//! proven peer, but a peer may be of another version or may be broken, and one bad message must not
-//! end a router.
+//! Decoding checks the size of every text and the length of every list. Peers are authenticated,
+//! but may run another version or be faulty, and one invalid message must not terminate a router.
 
 mod admission_codec;
 mod catalogue_codec;
@@ -22,8 +21,8 @@
     write_challenge, write_hello,
 };
 pub use limits::{
-    ADAPTERS_MAX, BATCH_MESSAGES_MAX, CALLS_MAX, CHANGES_MAX, MESSAGE_BYTES_MAX, NEWS_MAX,
-    TEXT_BYTES_MAX, reader_options,
+    ADAPTERS_MAX, BATCH_MESSAGES_MAX, CALLS_MAX, CHANGES_MAX, MESSAGE_BYTES_MAX, TEXT_BYTES_MAX,
+    UPDATES_MAX, reader_options,
 };
 pub use message_codec::{
     build_message, decode_message, encode_message, read_message, write_message,
--- a/crates/beechsaddle-wire/src/peer/reply_codec.rs
+++ b/crates/beechsaddle-wire/src/peer/reply_codec.rs
@@ -1,4 +1,5 @@
-//! The `reply_codec` module provides answers to requests about calls, and refusals.
+//! The `reply_codec` module provides the encoding of replies to requests about calls, and of
+//! refusals.
 
 use beechsaddle_core::names::{CallId, KeyText};
 use beechsaddle_core::refusal::{CallRefusal, RanState, RefusalReason};
@@ -8,7 +9,7 @@
 use crate::error::{Result, WireError};
 use crate::peer_capnp;
 
-/// Writes the answer to an admit request.
+/// Encodes the reply to an admit request.
 pub(super) fn write_admit_reply(
     call: &CallId,
     outcome: &std::result::Result<KeyText, CallRefusal>,
@@ -22,7 +23,7 @@
     Ok(())
 }
 
-/// Reads the answer to an admit request.
+/// Decodes the reply to an admit request.
 pub(super) fn read_admit_reply(
     reader: peer_capnp::admit_reply::Reader<'_>,
 ) -> Result<(CallId, std::result::Result<KeyText, CallRefusal>)> {
@@ -34,7 +35,7 @@
     Ok((call, outcome))
 }
 
-/// Writes the answer to a record request.
+/// Encodes the reply to a record request.
 pub(super) fn write_record_reply(
     call: &CallId,
     outcome: &std::result::Result<(), CallRefusal>,
@@ -48,7 +49,7 @@
     Ok(())
 }
 
-/// Reads the answer to a record request.
+/// Decodes the reply to a record request.
 pub(super) fn read_record_reply(
     reader: peer_capnp::record_reply::Reader<'_>,
 ) -> Result<(CallId, std::result::Result<(), CallRefusal>)> {
@@ -60,7 +61,7 @@
     Ok((call, outcome))
 }
 
-/// Writes that a call is not run under a reservation.
+/// Encodes the report that a call does not run under a reservation.
 pub(super) fn write_unknown(
     call: &CallId,
     journal: &KeyText,
@@ -71,7 +72,7 @@
     Ok(())
 }
 
-/// Reads that a call is not run under a reservation.
+/// Decodes the report that a call does not run under a reservation.
 pub(super) fn read_unknown(
     reader: peer_capnp::call_unknown::Reader<'_>,
 ) -> Result<(CallId, KeyText)> {
--- a/crates/beechsaddle-wire/src/peer/text_codec.rs
+++ b/crates/beechsaddle-wire/src/peer/text_codec.rs
@@ -1,4 +1,4 @@
-//! The `text_codec` module provides names, texts and list lengths with their limits.
+//! The `text_codec` module provides the checks of names, texts and list lengths.
 
 use super::limits::TEXT_BYTES_MAX;
 use crate::error::{Result, WireError};
@@ -15,7 +15,7 @@
     }
 }
 
-/// Checks a name, which has to stand for something, before it is written.
+/// Checks a name, which must not be empty, before it is encoded.
 pub(super) fn check_name(name: &str) -> Result<&str> {
     if name.is_empty() {
         return Err(WireError::EmptyName);
@@ -23,13 +23,13 @@
     check_text(name)
 }
 
-/// Checks a text before it is written.
+/// Checks the length of a text before it is encoded.
 pub(super) fn check_text(text: &str) -> Result<&str> {
     check_size(text.len(), TEXT_BYTES_MAX)?;
     Ok(text)
 }
 
-/// Checks the size of something in bytes.
+/// Checks a size against a limit, in bytes.
 pub(super) fn check_size(size: usize, limit: usize) -> Result<()> {
     if size > limit {
         return Err(WireError::TooLarge { size, limit });
@@ -37,7 +37,7 @@
     Ok(())
 }
 
-/// Checks the length of a list and gives it as the schema wants it.
+/// Checks the length of a list and returns it in the schema's type.
 pub(super) fn check_count(count: usize, limit: usize) -> Result<u32> {
     match u32::try_from(count) {
         Ok(length) if count <= limit => Ok(length),
@@ -45,7 +45,7 @@
     }
 }
 
-/// Reads a text.
+/// Decodes a text.
 pub(super) fn read_text(reader: capnp::text::Reader<'_>) -> Result<&str> {
     check_size(reader.len(), TEXT_BYTES_MAX)?;
     reader
@@ -53,8 +53,8 @@
         .map_err(|error| WireError::Decode(error.to_string()))
 }
 
-/// Reads a name. An empty one is an error: a structure whose bytes were cut off reads as empty
-/// names and zeros, and must not pass for a message about a router or budget without a name.
+/// Decodes a name; fails if it is empty. A structure with truncated bytes reads as empty names and
+/// zeros, and must not be taken for a message about a router or budget without a name.
 pub(super) fn read_name(reader: capnp::text::Reader<'_>) -> Result<&str> {
     if reader.is_empty() {
         return Err(WireError::EmptyName);
--- a/crates/beechsaddle-wire/src/platform_codec.rs
+++ b/crates/beechsaddle-wire/src/platform_codec.rs
@@ -1,16 +1,16 @@
-//! The `platform_codec` module provides the CBOR form of the objects at the platform.
+//! The `platform_codec` module provides the CBOR encoding of the objects on the platform.
 
 use beechsaddle_core::objects::PlatformObject;
 
 use crate::error::{Result, WireError};
 
-/// The platform holds values up to a megabyte (`docs/API.md`).
+/// The maximum size of a value on the platform, in bytes (`docs/API.md`).
 pub const OBJECT_BYTES_MAX: usize = 1_000_000;
 
-/// How deeply values may nest. The deepest object, a catalogue base, needs less than a third of it.
+/// The maximum nesting depth. The deepest object, a catalogue base, needs less than a third of it.
 const NESTING_MAX: usize = 48;
 
-/// Encodes an object, unless it is larger than [`OBJECT_BYTES_MAX`].
+/// Encodes an object; fails if it is larger than [`OBJECT_BYTES_MAX`].
 pub fn encode_object(object: &PlatformObject) -> Result<Vec<u8>> {
     let mut bytes = Vec::new();
     ciborium::into_writer(object, &mut bytes)
@@ -19,16 +19,16 @@
     Ok(bytes)
 }
 
-/// Decodes an object. Bytes that hold anything else than exactly one object are an error.
+/// Decodes an object. The bytes have to hold exactly one object.
 pub fn decode_object(bytes: &[u8]) -> Result<PlatformObject> {
     check_size(bytes.len())?;
-    let mut rest = bytes;
-    // A value of nothing but opened arrays would recurse until the stack ends and abort the router,
-    // and every router that reads it after a restart. The limit makes such a value an error.
-    let object = ciborium::de::from_reader_with_recursion_limit(&mut rest, NESTING_MAX)
+    let mut remaining = bytes;
+    // Without the limit, a value of nothing but nested arrays would overflow the stack and abort
+    // every router that reads it, again after each restart.
+    let object = ciborium::de::from_reader_with_recursion_limit(&mut remaining, NESTING_MAX)
         .map_err(|error| WireError::Decode(error.to_string()))?;
-    if !rest.is_empty() {
-        return Err(WireError::TrailingBytes(rest.len()));
+    if !remaining.is_empty() {
+        return Err(WireError::TrailingBytes(remaining.len()));
     }
     Ok(object)
 }
--- a/crates/beechsaddle-wire/tests/common/mod.rs
+++ b/crates/beechsaddle-wire/tests/common/mod.rs
@@ -15,10 +15,10 @@
 use beechsaddle_core::target::{EngineRole, EngineState, LoadReport};
 use quickcheck::{Arbitrary, Gen};
 
-/// How many variants [`AnyMessage`] draws from; one arm of [`message_of`] each.
+/// The number of variants that [`AnyMessage`] draws from; each has an arm in [`message_of`].
 pub const VARIANTS: u8 = 16;
 
-/// Any message that the core may send.
+/// An arbitrary message that the core may send.
 #[derive(Clone, Debug)]
 pub struct AnyMessage(pub PeerMessage);
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// An arbitrary message of one variant.
+/// Returns an arbitrary message of one variant.
 pub fn message_of(variant: u8, gen_: &mut Gen) -> PeerMessage {
     match variant {
         0 => PeerMessage::Heartbeat(any_heartbeat(gen_)),
@@ -93,8 +93,8 @@
     }
 }
 
-/// The place of a message's variant in [`message_of`]. A variant that is added to the messages
-/// does not compile here until it is drawn above, too.
+/// Returns the index of a message's variant in [`message_of`]. A new variant of the messages breaks
+/// the build here, as a reminder to add it above as well.
 pub fn variant_of(message: &PeerMessage) -> u8 {
     match message {
         PeerMessage::Heartbeat(_) => 0,
@@ -137,8 +137,8 @@
 
 fn any_name(gen_: &mut Gen) -> String {
     let text = String::arbitrary(gen_);
-    let rest: String = text.chars().take(100).collect();
-    format!("n{rest}")
+    let suffix: String = text.chars().take(100).collect();
+    format!("n{suffix}")
 }
 
 fn any_incarnation(gen_: &mut Gen) -> RouterIncarnation {
--- a/crates/beechsaddle-wire/tests/once_shard_size.rs
+++ b/crates/beechsaddle-wire/tests/once_shard_size.rs
@@ -1,4 +1,4 @@
-//! The size of dedup shards as they are stored.
+//! Tests of the stored size of dedup shards.
 
 use beechsaddle_core::dedup::{DedupRecord, DedupShard};
 use beechsaddle_core::names::{
@@ -6,7 +6,8 @@
 };
 use beechsaddle_core::objects::PlatformObject;
 
-/// A shard of alike records with names of the given lengths and the largest numbers.
+/// Returns the encoded size of a shard of equal records with names of the given lengths and maximal
+/// numbers.
 fn shard_bytes(count: usize, workspace: usize, key: usize, host: usize, released: bool) -> usize {
     let record = DedupRecord {
         key: RequestKey {
@@ -30,15 +31,15 @@
     bytes.len()
 }
 
-// The core counts 140 bytes for each record besides its names, and adds no key from 700,000 on. If
-// a record took more, a shard could outgrow what the platform holds and none of its keys could be
-// written any more.
+// The core estimates 140 bytes per record besides its names and adds no key to a shard of 700,000
+// bytes or more. If records were larger, a shard could exceed the platform's limit on values, and
+// none of its keys could be written any more.
 #[test]
-fn shard_bytes_within_count() {
+fn shard_bytes_within_estimate() {
     for (workspace, key, host) in [(10, 36, 12), (64, 128, 64), (1, 1, 1)] {
         for released in [false, true] {
             let count = 1_000;
-            let counted = count * (140 + workspace + key + host);
+            let estimated = count * (140 + workspace + key + host);
             let stored = shard_bytes(count, workspace, key, host, released);
             println!(
                 "dedup_shard workspace={workspace} key={key} host={host} released={released} \
@@ -46,8 +47,8 @@
                 stored / count
             );
             assert!(
-                stored <= counted,
-                "{stored} bytes stored, {counted} counted"
+                stored <= estimated,
+                "{stored} bytes stored, {estimated} estimated"
             );
         }
     }
--- a/crates/beechsaddle-wire/tests/peer_codec.rs
+++ b/crates/beechsaddle-wire/tests/peer_codec.rs
@@ -1,4 +1,4 @@
-//! Round trips of messages between routers, and bytes that are none.
+//! Tests of the encoding of messages between routers: round trips and invalid bytes.
 
 mod common;
 
@@ -6,7 +6,9 @@
 use beechsaddle_core::peer::{LimitUse, PeerHeartbeat, PeerMessage, RouterState};
 use beechsaddle_core::prelude::*;
 use beechsaddle_wire::WireError;
-use beechsaddle_wire::peer::{CALLS_MAX, NEWS_MAX, TEXT_BYTES_MAX, decode_message, encode_message};
+use beechsaddle_wire::peer::{
+    CALLS_MAX, TEXT_BYTES_MAX, UPDATES_MAX, decode_message, encode_message,
+};
 use beechsaddle_wire::peer_capnp;
 use quickcheck::{Gen, QuickCheck};
 
@@ -34,7 +36,7 @@
 }
 
 #[test]
-fn decode_message_gives_what_was_encoded() {
+fn decode_message_round_trips() {
     fn property(message: AnyMessage) -> bool {
         let bytes = encode_message(&message.0).expect("within limits");
         decode_message(&bytes) == Ok(message.0)
@@ -45,7 +47,7 @@
 }
 
 #[test]
-fn decode_message_knows_every_variant() {
+fn decode_message_supports_every_variant() {
     let mut gen_ = Gen::new(8);
     for variant in 0..VARIANTS {
         let message = message_of(variant, &mut gen_);
@@ -55,11 +57,11 @@
     }
 }
 
-// A peer of another version, or one whose memory is broken, sends bytes that are no message. The
-// receiver has to get an error for each of them: a panic would end the thread that all peers are
-// served by, and the router would look dead to its domain.
+// A peer of another version or with corrupted memory sends bytes that are not a message. Decoding
+// must return an error: a panic would end the thread that serves all peers, and the domain would
+// consider the router down.
 #[test]
-fn decode_message_survives_any_bytes() {
+fn decode_message_rejects_arbitrary_bytes() {
     fn property(bytes: Vec<u8>) -> bool {
         decode_message(&bytes).is_err()
     }
@@ -68,15 +70,15 @@
         .quickcheck(property as fn(Vec<u8>) -> bool);
 }
 
-// Flipped bits in real messages reach deeper than noise: pointers that point elsewhere, lists of a
-// changed length, texts that are no UTF-8. The outcome may be an error or another message.
+// Flipped bits in valid messages reach code that random bytes do not: wrong pointers, changed list
+// lengths, texts that are not UTF-8. The result may be an error or another message, but no panic.
 #[test]
-fn decode_message_survives_flipped_bits() {
+fn decode_message_tolerates_flipped_bits() {
     fn property(message: AnyMessage, flips: Vec<(usize, u8)>) -> bool {
         let mut bytes = encode_message(&message.0).expect("within limits");
-        for (place, mask) in flips {
+        for (position, mask) in flips {
             let length = bytes.len();
-            bytes[place % length] ^= mask;
+            bytes[position % length] ^= mask;
         }
         let _ = decode_message(&bytes);
         true
@@ -87,10 +89,10 @@
 }
 
 #[test]
-fn decode_message_refuses_cut_bytes() {
-    fn property(message: AnyMessage, keep: usize) -> bool {
+fn decode_message_rejects_truncated_bytes() {
+    fn property(message: AnyMessage, length: usize) -> bool {
         let bytes = encode_message(&message.0).expect("within limits");
-        decode_message(&bytes[..keep % bytes.len()]).is_err()
+        decode_message(&bytes[..length % bytes.len()]).is_err()
     }
     QuickCheck::new()
         .tests(1_000)
@@ -98,17 +100,18 @@
 }
 
 #[test]
-fn decode_message_refuses_bytes_after_it() {
+fn decode_message_rejects_trailing_bytes() {
     let message = PeerMessage::CatalogueRequest { after: 1 };
     let mut bytes = encode_message(&message).expect("within limits");
     bytes.extend_from_slice(&[0; 8]);
     assert_eq!(decode_message(&bytes), Err(WireError::TrailingBytes(8)));
 }
 
-// A report of more calls than a fleet can have running at a time comes from a broken peer. Taking it
-// would spend the router's memory and time on calls that do not exist, while its own callers wait.
+// A report of more calls than a fleet can run at a time comes from a faulty peer. Accepting it
+// would spend the router's memory and time on calls that do not exist, at the expense of its own
+// callers.
 #[test]
-fn decode_message_refuses_lists_over_the_limit() {
+fn decode_message_rejects_lists_over_the_limit() {
     let mut builder = capnp::message::Builder::new_default();
     let root: peer_capnp::peer_message::Builder<'_> = builder.init_root();
     root.init_bills_durable(CALLS_MAX as u32 + 1);
@@ -123,7 +126,7 @@
 }
 
 #[test]
-fn decode_message_refuses_empty_names() {
+fn decode_message_rejects_empty_names() {
     let mut builder = capnp::message::Builder::new_default();
     let root: peer_capnp::peer_message::Builder<'_> = builder.init_root();
     root.init_settle_reply();
@@ -132,7 +135,7 @@
 }
 
 #[test]
-fn decode_message_refuses_unknown_reasons() {
+fn decode_message_rejects_unknown_reasons() {
     let mut builder = capnp::message::Builder::new_default();
     let root: peer_capnp::peer_message::Builder<'_> = builder.init_root();
     let mut reply = root.init_admit_reply();
@@ -144,7 +147,7 @@
 }
 
 #[test]
-fn encode_message_refuses_what_no_receiver_would_take() {
+fn encode_message_rejects_invalid_values() {
     let long = "x".repeat(TEXT_BYTES_MAX + 1);
     let message = PeerMessage::SettleReply {
         call: call(&long, 1),
@@ -158,7 +161,7 @@
     assert_eq!(encode_message(&message), Err(WireError::EmptyName));
 
     let mut crowded = heartbeat("graz-nord");
-    crowded.limits = (0..=NEWS_MAX)
+    crowded.limits = (0..=UPDATES_MAX)
         .map(|number| LimitUse {
             entry: EntryId {
                 kind: EntryKind::Workspace,
--- a/crates/beechsaddle-wire/tests/platform_codec.rs
+++ b/crates/beechsaddle-wire/tests/platform_codec.rs
@@ -1,4 +1,4 @@
-//! Tests of the CBOR form of platform objects.
+//! Tests of the CBOR encoding of platform objects.
 
 use std::collections::BTreeMap;
 
@@ -53,7 +53,7 @@
 }
 
 quickcheck! {
-    fn decode_object_own_encoding(amounts: Vec<(String, u64, u64)>) -> bool {
+    fn decode_object_round_trips(amounts: Vec<(String, u64, u64)>) -> bool {
         let object = ledger_of(&amounts);
         encode_object(&object).and_then(|bytes| decode_object(&bytes)) == Ok(object)
     }
@@ -62,21 +62,21 @@
         decode_object(&bytes).is_err()
     }
 
-    fn decode_object_flipped_byte(place: usize, flip: u8) -> TestResult {
+    fn decode_object_flipped_byte(position: usize, flip: u8) -> TestResult {
         if flip == 0 {
             return TestResult::discard();
         }
         let Ok(mut bytes) = encode_object(&base_with_digest()) else {
             return TestResult::failed();
         };
-        let place = place % bytes.len();
-        bytes[place] ^= flip;
-        // A changed byte may still be a value, as in a name; it must only not panic.
+        let position = position % bytes.len();
+        bytes[position] ^= flip;
+        // The changed bytes may still be valid, for example in a name; decoding must not panic.
         let _ = decode_object(&bytes);
         TestResult::passed()
     }
 
-    fn decode_object_cut_short(length: usize) -> bool {
+    fn decode_object_truncated(length: usize) -> bool {
         let Ok(bytes) = encode_object(&base_with_digest()) else {
             return false;
         };
@@ -95,9 +95,9 @@
     assert_eq!(decode_object(&bytes), Err(WireError::TrailingBytes(1)));
 }
 
-// A writer of a later version, or one with a fault, stores half a megabyte of opened arrays in a
-// field that this version does not know and skips. Each router that watches the object reads it,
-// and without a nesting limit each runs out of stack and dies, again after every restart.
+// A client of a later version, or a faulty one, stores half a megabyte of nested arrays in a field
+// that this version does not know and skips. Without a nesting limit, each router that watches the
+// object overflows its stack and aborts, again after every restart.
 #[test]
 fn decode_object_deep_nesting() {
     for opening in [0x81_u8, 0xa1] {
@@ -116,7 +116,7 @@
 
 #[test]
 fn decode_object_announced_length() {
-    // A byte string that announces 2^62 bytes must not be allocated before they are read.
+    // A byte string with a declared length of 2^62 must not be allocated before its bytes are read.
     let announced = [0x5b, 0x40, 0, 0, 0, 0, 0, 0, 0, 1];
     assert!(decode_object(&announced).is_err());
     let announced_array = [0x9b, 0x40, 0, 0, 0, 0, 0, 0, 0, 1];
--- a/crates/beechsaddle/src/gateway/changes/change_apply.rs
+++ b/crates/beechsaddle/src/gateway/changes/change_apply.rs
@@ -7,7 +7,7 @@
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::report::LogLevel;
 use beechsaddle_platform::{
-    CONFIG_NAME, ObjectKind, StoreEvent, StoreListing, StoreNews, StoreObject, UnreadableObject,
+    CONFIG_NAME, ObjectKind, StoreChanges, StoreEvent, StoreListing, StoreObject, UnreadableObject,
     read_config, read_target,
 };
 use tokio::time::sleep;
@@ -19,7 +19,7 @@
 /// Interval between checks for targets that stayed unlisted.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 
-pub(super) fn apply_changes(state: &GatewayState, kind: ObjectKind, changes: &StoreNews) {
+pub(super) fn apply_changes(state: &GatewayState, kind: ObjectKind, changes: &StoreChanges) {
     for event in &changes.events {
         apply_event(state, kind, event);
     }
--- a/crates/beechsaddle/src/gateway/changes/change_relay.rs
+++ b/crates/beechsaddle/src/gateway/changes/change_relay.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use beechsaddle_core::gateway::{ChangeLog, ChangeReply, SourceSelector};
-use beechsaddle_platform::{ObjectKind, StoreListing, StoreNews};
+use beechsaddle_platform::{ObjectKind, StoreChanges, StoreListing};
 use tokio::sync::Notify;
 
 /// The known changes of one kind of objects.
@@ -63,7 +63,7 @@
     pub(in crate::gateway) fn try_record_changes(
         &self,
         kind: ObjectKind,
-        changes: &StoreNews,
+        changes: &StoreChanges,
     ) -> Result<(), serde_json::Error> {
         let mut kinds = self.kinds.borrow_mut();
         let known = kinds.entry(kind).or_default();
@@ -79,7 +79,11 @@
         self.add(known, changes)
     }
 
-    fn add(&self, known: &mut KindHistory, changes: &StoreNews) -> Result<(), serde_json::Error> {
+    fn add(
+        &self,
+        known: &mut KindHistory,
+        changes: &StoreChanges,
+    ) -> Result<(), serde_json::Error> {
         if changes.events.is_empty() && changes.unreadable.is_empty() {
             known.log.record_unchanged(changes.revision);
             return Ok(());
--- a/crates/beechsaddle/src/gateway/changes/follow_call.rs
+++ b/crates/beechsaddle/src/gateway/changes/follow_call.rs
@@ -4,7 +4,7 @@
 
 use beechsaddle_core::gateway::{ChangeBatch, FollowFailure, PeerRecord};
 use beechsaddle_core::report::LogLevel;
-use beechsaddle_platform::{ObjectKind, StoreNews};
+use beechsaddle_platform::{ObjectKind, StoreChanges};
 use tokio::time::timeout;
 
 use crate::gateway::gateway_metrics::OutcomeLabel;
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub(super) enum FollowStep {
     /// Changes, oldest first, and the revision that they lead to.
-    Changes(Vec<StoreNews>, u64),
+    Changes(Vec<StoreChanges>, u64),
     /// The changes must be read from the store.
     Gone,
     /// The router could not provide changes.
@@ -93,7 +93,7 @@
 ) -> FollowStep {
     let read = batches
         .iter()
-        .map(|batch| StoreNews::try_decode(&batch.body));
+        .map(|batch| StoreChanges::try_decode(&batch.body));
     match read.collect::<Result<Vec<_>, _>>() {
         Ok(changes) => FollowStep::Changes(changes, revision),
         Err(error) => {
--- a/crates/beechsaddle/src/gateway/changes/store_follow.rs
+++ b/crates/beechsaddle/src/gateway/changes/store_follow.rs
@@ -9,7 +9,7 @@
 use beechsaddle_core::gateway::ChangeSource;
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::report::LogLevel;
-use beechsaddle_platform::{ObjectKind, StoreFailure, StoreListing, StoreNews};
+use beechsaddle_platform::{ObjectKind, StoreChanges, StoreFailure, StoreListing};
 use tokio::time::{sleep, timeout};
 
 use super::change_apply::{apply_changes, apply_listing};
@@ -44,7 +44,7 @@
 
 /// The next step of following a kind.
 enum StoreStep {
-    Changes(StoreNews),
+    Changes(StoreChanges),
     /// A complete listing, as changes may have been missed.
     Listing(StoreListing),
 }
@@ -147,7 +147,7 @@
         },
         Err(failure) => {
             // Probes show when another try is worthwhile.
-            state.store_health.note(!failure.is_away());
+            state.store_health.note(!failure.is_unavailable());
             sleep(FALLBACK_PAUSE).await;
             return revision;
         }
@@ -223,7 +223,7 @@
     state: &GatewayState,
     kind: ObjectKind,
     failure: &StoreFailure,
-    watching: impl Future<Output = Result<StoreNews, StoreFailure>>,
+    watching: impl Future<Output = Result<StoreChanges, StoreFailure>>,
 ) -> StoreStep {
     log_dependency(state, "store_lost", kind, failure.to_string());
     state.relay.set_watched(kind, false);
--- a/crates/beechsaddle/src/gateway/changes/store_probe.rs
+++ b/crates/beechsaddle/src/gateway/changes/store_probe.rs
@@ -160,5 +160,5 @@
     if read.is_ok() && state.relay.is_watched(ObjectKind::Targets) {
         state.record_targets_known(started);
     }
-    !read.as_ref().is_err_and(StoreFailure::is_away)
+    !read.as_ref().is_err_and(StoreFailure::is_unavailable)
 }
--- a/crates/beechsaddle/src/gateway/crashes/crash_follow.rs
+++ b/crates/beechsaddle/src/gateway/crashes/crash_follow.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use beechsaddle_platform::{ObjectKind, StoreFailure, StoreNews};
+use beechsaddle_platform::{ObjectKind, StoreChanges, StoreFailure};
 use tokio::time::{sleep, timeout};
 
 use super::crash_store::apply_object;
@@ -85,7 +85,7 @@
 }
 
 /// Waits for changes; returns `None` if some may have been missed.
-async fn watch_crashes(state: &GatewayState, revision: u64) -> Option<StoreNews> {
+async fn watch_crashes(state: &GatewayState, revision: u64) -> Option<StoreChanges> {
     let started = state.now();
     let kind = ObjectKind::Crashes;
     let watched = tokio::select! {
--- a/crates/beechsaddle/src/gateway/gateway_state.rs
+++ b/crates/beechsaddle/src/gateway/gateway_state.rs
@@ -262,7 +262,7 @@
             ("took_ms", took_ms.to_string()),
         ];
         self.report.log(LogLevel::Debug, "store_call", fields);
-        let is_outage = outcome.as_ref().is_err_and(StoreFailure::is_away);
+        let is_outage = outcome.as_ref().is_err_and(StoreFailure::is_unavailable);
         if !is_outage {
             self.record_store_answer();
         } else {
--- a/crates/beechsaddle/src/gateway/plain_exchange.rs
+++ b/crates/beechsaddle/src/gateway/plain_exchange.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use beechsaddle_core::gateway::{AttemptEnd, LinkDirection, TargetChoice, TargetRecord};
-use beechsaddle_platform::answer_headers;
+use beechsaddle_platform::response_headers;
 use bytes::Bytes;
 use http::{HeaderMap, Method, Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
@@ -191,7 +191,7 @@
     }
     let mut response = Response::new(AnswerBody::full(answer.body));
     *response.status_mut() = answer.status;
-    *response.headers_mut() = answer_headers(&answer.headers);
+    *response.headers_mut() = response_headers(&answer.headers);
     if call.method != Method::HEAD {
         response.headers_mut().remove(http::header::CONTENT_LENGTH);
     }
--- a/crates/beechsaddle/src/gateway/stream_exchange.rs
+++ b/crates/beechsaddle/src/gateway/stream_exchange.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use beechsaddle_core::gateway::{AttemptEnd, TargetChoice, TargetRecord};
-use beechsaddle_platform::answer_headers;
+use beechsaddle_platform::response_headers;
 use http::header::CONTENT_LENGTH;
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
@@ -54,7 +54,7 @@
             let relay = StreamRelay::new(Rc::clone(&call), reservation, attempt);
             let mut response = Response::new(AnswerBody::Streamed(relay.into_stream()));
             *response.status_mut() = status;
-            *response.headers_mut() = answer_headers(&headers);
+            *response.headers_mut() = response_headers(&headers);
             response.headers_mut().remove(CONTENT_LENGTH);
             response
         }
@@ -215,7 +215,7 @@
     };
     let mut response = Response::new(AnswerBody::full(body));
     *response.status_mut() = parts.status;
-    *response.headers_mut() = answer_headers(&parts.headers);
+    *response.headers_mut() = response_headers(&parts.headers);
     response.headers_mut().remove(CONTENT_LENGTH);
     Ok(response)
 }
--- a/crates/beechsaddle/src/gateway/stream_relay.rs
+++ b/crates/beechsaddle/src/gateway/stream_relay.rs
@@ -7,7 +7,7 @@
 use beechsaddle_core::gateway::{AttemptEnd, RouteKind};
 use beechsaddle_core::prelude::*;
 use beechsaddle_link::HttpLink;
-use beechsaddle_platform::AnswerFacts;
+use beechsaddle_platform::ResponseHead;
 use bytes::Bytes;
 use futures::stream::unfold;
 use http_body_util::BodyExt;
@@ -106,7 +106,7 @@
     guard: AttemptGuard,
     link: HttpLink,
     body: Incoming,
-    facts: AnswerFacts,
+    facts: ResponseHead,
 }
 
 impl StreamAttempt {
@@ -115,7 +115,7 @@
         guard: AttemptGuard,
         link: HttpLink,
         body: Incoming,
-        facts: AnswerFacts,
+        facts: ResponseHead,
     ) -> Self {
         StreamAttempt {
             guard,
--- a/crates/beechsaddle/src/gateway/target_send.rs
+++ b/crates/beechsaddle/src/gateway/target_send.rs
@@ -5,7 +5,7 @@
 
 use beechsaddle_core::gateway::{AttemptEnd, LinkDirection, TargetRecord};
 use beechsaddle_link::{HttpLink, LinkFailure, LinkOptions};
-use beechsaddle_platform::{AnswerFacts, ForwardFields, forward_headers};
+use beechsaddle_platform::{ForwardFields, ResponseHead, forward_headers};
 use bytes::Bytes;
 use http::{Request, Response, Uri};
 use http_body_util::Full;
@@ -19,7 +19,7 @@
 pub(super) struct TargetAnswer {
     pub(super) response: Response<Incoming>,
     /// The parsed response head.
-    pub(super) facts: AnswerFacts,
+    pub(super) facts: ResponseHead,
     /// The connection, which can be reused only after the response body was read.
     pub(super) link: HttpLink,
 }
@@ -97,7 +97,7 @@
             return Err((failure, false));
         }
     };
-    let facts = AnswerFacts::read(&response);
+    let facts = ResponseHead::read(&response);
     // A reused connection can hold a stale response to an earlier call; forwarding it would give
     // one caller another's response. On a new connection there can be none.
     let is_matching = match &facts.request_id {
--- a/crates/beechsaddle/tests/crash_support/mod.rs
+++ b/crates/beechsaddle/tests/crash_support/mod.rs
@@ -46,7 +46,7 @@
 
     fn list(&self, engine: &TargetStandIn) {
         engine.crash_on(CRASH_MARK);
-        engine.set_work(WORK_SPAN);
+        engine.set_response_delay(WORK_SPAN);
         self.store
             .put_target(engine, "engine", "north", EntryState::Ready);
         self.lock().push(engine.clone());
--- a/crates/beechsaddle/tests/gateway_budgets.rs
+++ b/crates/beechsaddle/tests/gateway_budgets.rs
@@ -68,7 +68,7 @@
 #[tokio::test]
 async fn lost_and_late_writes_never_overspend() {
     let prepaid = 12_000;
-    for fault in [StoreFault::AnswersLost, StoreFault::LateWrites(1_500)] {
+    for fault in [StoreFault::LostResponses, StoreFault::LateWrites(1_500)] {
         let bench = GatewayBench::start(&draft(1, prepaid)).await;
         let mut served = 0;
         for round in 0..4 {
@@ -200,7 +200,7 @@
     use tokio::io::AsyncWriteExt;
     let mut bench = GatewayBench::start(&draft(1, 1_000_000)).await;
     for target in &bench.engines {
-        target.set_work(Duration::from_secs(5));
+        target.set_response_delay(Duration::from_secs(5));
     }
     for number in 0..5 {
         let call = stream_request(&format!("call-{number}"));
--- a/crates/beechsaddle/tests/gateway_calls.rs
+++ b/crates/beechsaddle/tests/gateway_calls.rs
@@ -20,7 +20,7 @@
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     let mut call = request("POST /order/7?x=%2f&y", "call-1");
     call.body = b"two crates".to_vec();
-    call.more = vec![
+    call.extra_headers = vec![
         "X-Own: kept".to_owned(),
         "Connection: X-Hop".to_owned(),
         "X-Hop: dropped".to_owned(),
@@ -55,7 +55,7 @@
     let mut large = request("POST /order/1", "call-4");
     large.body = vec![b'x'; 70_000];
     let mut bad_tokens = request("POST /stream/on/1", "call-6");
-    bad_tokens.name_tokens("many");
+    bad_tokens.set_token_usage("many");
     let cases = [
         (missing_id, 400),
         (wrong_key, 401),
@@ -79,7 +79,7 @@
 async fn conflicting_lengths_smuggle_no_request() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     let mut call = request("POST /order/1", "call-1");
-    call.more = vec!["Transfer-Encoding: chunked".to_owned()];
+    call.extra_headers = vec!["Transfer-Encoding: chunked".to_owned()];
     call.body = b"3\r\nabc\r\n0\r\n\r\n".to_vec();
     let reply = bench.router.call(&call).await;
     assert_eq!(reply.status, 200);
@@ -136,7 +136,7 @@
 #[tokio::test]
 async fn not_repeatable_cut_is_unknown_and_runs_once() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
-    set_faults(&bench.plain, TargetFault::Cutting);
+    set_faults(&bench.plain, TargetFault::Disconnecting);
     let reply = bench.router.call(&request("POST /order/1", "call-1")).await;
     assert_eq!(reply.status, 502);
     assert!(!reply.headers.contains_key("retry-after"));
@@ -167,7 +167,7 @@
     let faults = [
         TargetFault::WrongId,
         TargetFault::Unsealed,
-        TargetFault::HalfAnswer,
+        TargetFault::TruncatedResponse,
     ];
     for fault in faults {
         set_faults(&bench.plain, fault);
@@ -182,7 +182,7 @@
 #[tokio::test]
 async fn surplus_answer_reaches_no_later_call() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
-    set_faults(&bench.plain, TargetFault::SecondAnswer);
+    set_faults(&bench.plain, TargetFault::SurplusResponse);
     for number in 0..20 {
         let call = request("GET /get/1", &format!("call-{number}"));
         let reply = bench.router.call(&call).await;
@@ -211,7 +211,7 @@
 async fn caller_gone_ends_the_targets_work() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     for target in &bench.plain {
-        target.set_work(Duration::from_secs(4));
+        target.set_response_delay(Duration::from_secs(4));
     }
     let call = request("POST /order/1", "call-1");
     let mut stream = TcpStream::connect(bench.router.address)
@@ -253,7 +253,7 @@
 async fn idempotent_late_answer_ejects_no_target() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     for target in &bench.plain {
-        target.set_work(Duration::from_millis(250));
+        target.set_response_delay(Duration::from_millis(250));
     }
     let reply = bench.router.call(&request("GET /get/1", "late")).await;
     assert_eq!(reply.status, 200);
@@ -272,7 +272,7 @@
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     bench.plain[0].set_fault(TargetFault::Misdirected);
     // Slow enough that the other address looks like the better choice each time.
-    bench.plain[1].set_work(Duration::from_millis(60));
+    bench.plain[1].set_response_delay(Duration::from_millis(60));
     for number in 0..10 {
         let call = request(&format!("GET /get/{number}"), &format!("call-{number}"));
         let reply = bench.router.call(&call).await;
--- a/crates/beechsaddle/tests/gateway_crashes.rs
+++ b/crates/beechsaddle/tests/gateway_crashes.rs
@@ -128,7 +128,7 @@
         let popular = body_request(&format!("popular-{number}"), b"popular");
         let (_, reply) = tokio::join!(fleet.call(router, &crashing), fleet.call(router, &popular));
         match reply {
-            Some(reply) if reply.status == 200 && reply.is_whole => answered += 1,
+            Some(reply) if reply.status == 200 && reply.is_complete => answered += 1,
             Some(reply) if reply.body.contains("crashes_targets") => refused.push(number),
             Some(_) | None => {}
         }
@@ -142,7 +142,7 @@
 async fn targets_killed_together_block_no_request() {
     let fleet = CrashFleet::start(6).await;
     for engine in fleet.engines.running() {
-        engine.set_work(Duration::from_millis(400));
+        engine.set_response_delay(Duration::from_millis(400));
     }
     let calls = (0..18).map(|number| {
         let popular = body_request(&format!("popular-{number}"), b"popular");
@@ -184,7 +184,7 @@
     let engines = fleet.engines.running();
     engines
         .iter()
-        .for_each(|engine| engine.set_fault(TargetFault::Cutting));
+        .for_each(|engine| engine.set_fault(TargetFault::Disconnecting));
     for number in 0..9 {
         let cut = body_request(&format!("cut-{number}"), b"harmless");
         fleet.call(number % 3, &cut).await;
@@ -204,7 +204,7 @@
 async fn exit_of_draining_target_is_no_crash() {
     let fleet = CrashFleet::start(1).await;
     let engine = fleet.engines.running().remove(0);
-    engine.set_work(Duration::from_millis(600));
+    engine.set_response_delay(Duration::from_millis(600));
     let running = body_request("running", b"harmless");
     let address = fleet.routers[0].address;
     let call =
--- a/crates/beechsaddle/tests/gateway_logs.rs
+++ b/crates/beechsaddle/tests/gateway_logs.rs
@@ -44,7 +44,7 @@
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     for target in &bench.engines {
         target.set_events(9, std::time::Duration::from_millis(2));
-        target.set_fault(TargetFault::CutEvents(2));
+        target.set_fault(TargetFault::TruncatedStream(2));
     }
     bench.router.call(&stream_request("complaint", 100)).await;
     let line = bench.router.wait_log(&["event=call ", "complaint"]).await;
@@ -65,7 +65,7 @@
 async fn unknown_outcome_is_traceable_to_the_target() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     for target in &bench.plain {
-        target.set_fault(TargetFault::Cutting);
+        target.set_fault(TargetFault::Disconnecting);
     }
     bench
         .router
--- a/crates/beechsaddle/tests/gateway_shutdown.rs
+++ b/crates/beechsaddle/tests/gateway_shutdown.rs
@@ -35,7 +35,7 @@
     assert_eq!(reply.status, 200);
     assert_eq!(reply.headers["connection"], "close");
     let reply = stream.await.expect("no panic").expect("an answer");
-    assert!(reply.is_whole);
+    assert!(reply.is_complete);
     assert_eq!(bench.router.wait_end().await, Some(0));
 }
 
@@ -45,7 +45,7 @@
 async fn terminated_router_exits_within_the_grace() {
     let mut bench = GatewayBench::start(&draft(1, AMPLE)).await;
     for target in &bench.plain {
-        target.set_work(Duration::from_secs(30));
+        target.set_response_delay(Duration::from_secs(30));
     }
     let mut call = request("POST /order/1", "call-1");
     call.deadline_ms = 60_000;
--- a/crates/beechsaddle/tests/gateway_streams.rs
+++ b/crates/beechsaddle/tests/gateway_streams.rs
@@ -37,7 +37,7 @@
         .call(&stream_request("/stream/once/1", "call-1"))
         .await;
     assert_eq!(reply.status, 200);
-    assert!(reply.is_whole);
+    assert!(reply.is_complete);
     assert_eq!(event_ids(&reply.body), [1, 2, 3]);
 }
 
@@ -48,14 +48,14 @@
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     set_events(&bench.engines, 6, 5);
     for target in &bench.engines {
-        target.set_fault(TargetFault::CutEvents(2));
+        target.set_fault(TargetFault::TruncatedStream(2));
     }
     let reply = bench
         .router
         .call(&stream_request("/stream/on/1", "call-1"))
         .await;
     assert_eq!(event_ids(&reply.body), [1, 2, 3, 4]);
-    assert!(!reply.is_whole, "the second target broke off as well");
+    assert!(!reply.is_complete, "the second target broke off as well");
     let runs: Vec<_> = bench.engines.iter().flat_map(TargetStandIn::runs).collect();
     let resumed = runs
         .iter()
@@ -70,11 +70,11 @@
 async fn resumable_cut_once_ends_whole() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     set_events(&bench.engines, 5, 5);
-    bench.engines[0].set_fault(TargetFault::CutEvents(2));
+    bench.engines[0].set_fault(TargetFault::TruncatedStream(2));
     for number in 0..6 {
         let call = stream_request("/stream/on/1", &format!("call-{number}"));
         let reply = bench.router.call(&call).await;
-        assert!(reply.is_whole);
+        assert!(reply.is_complete);
         assert_eq!(event_ids(&reply.body), [1, 2, 3, 4, 5]);
     }
 }
@@ -85,7 +85,7 @@
 async fn resume_by_the_caller_is_passed_on() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     let mut call = stream_request("/stream/on/1", "call-1");
-    call.more = vec!["Last-Event-Id: 1".to_owned()];
+    call.extra_headers = vec!["Last-Event-Id: 1".to_owned()];
     let reply = bench.router.call(&call).await;
     assert_eq!(event_ids(&reply.body), [2, 3]);
 }
@@ -96,13 +96,13 @@
 async fn non_repeatable_cut_ends_visibly_broken() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
     for target in &bench.engines {
-        target.set_fault(TargetFault::CutEvents(1));
+        target.set_fault(TargetFault::TruncatedStream(1));
     }
     let reply = bench
         .router
         .call(&stream_request("/stream/once/1", "call-1"))
         .await;
-    assert!(!reply.is_whole);
+    assert!(!reply.is_complete);
     assert_eq!(event_ids(&reply.body), [1]);
     assert_eq!(GatewayBench::run_count(&bench.engines), 1);
 }
@@ -117,7 +117,7 @@
     for number in 0..4 {
         let call = stream_request("/stream/on/1", &format!("call-{number}"));
         let reply = bench.router.call(&call).await;
-        assert!(reply.is_whole);
+        assert!(reply.is_complete);
         assert_eq!(event_ids(&reply.body), [1, 2, 3]);
     }
 }
@@ -138,7 +138,7 @@
         .call(&stream_request("/stream/once/1", "call-1"))
         .await;
     let waited = started.elapsed();
-    assert!(!reply.is_whole);
+    assert!(!reply.is_complete);
     assert!(waited < Duration::from_millis(1_200), "{waited:?}");
     wait_for("an end of the work", || async {
         let mut runs = bench.engines.iter().flat_map(TargetStandIn::runs);
--- a/crates/beechsaddle/tests/limit_support/mod.rs
+++ b/crates/beechsaddle/tests/limit_support/mod.rs
@@ -72,7 +72,7 @@
         for number in 1..=engines {
             let engine = TargetStandIn::try_start(&format!("engine-{number}")).await;
             let engine = engine.expect("an engine");
-            engine.set_work(Duration::from_millis(5));
+            engine.set_response_delay(Duration::from_millis(5));
             fleet
                 .store
                 .put_target(&engine, "engine", "east", EntryState::Ready);
@@ -125,12 +125,12 @@
         streamed.tokens = Some((2_100, 20));
         let part = number % 4;
         let prompt = format!("X-Beechsaddle-Prompt-Prefix: part{part}:2000,{id}:100");
-        streamed.more.push(prompt);
+        streamed.extra_headers.push(prompt);
         let counts = counts.clone();
         tokio::spawn(async move {
             counts.made.fetch_add(1, Ordering::Relaxed);
             let reply = call(address, &streamed).await;
-            if reply.is_ok_and(|reply| reply.status == 200 && reply.is_whole) {
+            if reply.is_ok_and(|reply| reply.status == 200 && reply.is_complete) {
                 counts.answered.fetch_add(1, Ordering::Relaxed);
             }
         });
