--- a/crates/beechsaddle-lab/src/measure/catalogue_cost.rs
+++ b/crates/beechsaddle-lab/src/measure/catalogue_cost.rs
@@ -1,4 +1,4 @@
-//! The `catalogue_cost` module provides what the catalogue costs a router that holds all of it.
+//! The `catalogue_cost` module provides the memory and edit time of a router's catalogue.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -13,16 +13,16 @@
 use super::{ProcessCost, SlopeFit};
 use crate::key_values::KeyValues;
 
-/// How many workspaces the measured catalogues hold; the last is the target size.
+/// The sizes of the measured catalogues in workspaces; the last is the size designed for.
 const COUNTS: [u64; 5] = [1_000, 5_000, 10_000, 15_000, 25_000];
 
-/// Budgets of each workspace: 650,000 among 25,000.
+/// Budgets per workspace: 650,000 budgets in 25,000 workspaces.
 const BUDGETS_EACH: u64 = 26;
 
-/// How many edits of one entry are timed at each size.
+/// Number of single-entry edits timed at each size.
 const TIMED_EDITS: u64 = 200;
 
-/// Grows one catalogue, and reads the memory and times single edits at each size.
+/// Grows a catalogue, and measures resident memory and the time of an edit at each size.
 pub fn run(_seed: u64) -> Vec<String> {
     let mut view = CatalogueView::new();
     let before = rss_kib();
@@ -64,7 +64,7 @@
     view.apply(&change);
 }
 
-/// A workspace whose default is the first of its budgets.
+/// Returns a workspace whose default budget is its first one.
 fn workspace_of(number: u64) -> CatalogueEntry {
     let mut entry = workspace(number);
     if let CatalogueEntry::Workspace(workspace) = &mut entry {
@@ -73,7 +73,7 @@
     entry
 }
 
-/// The declaration of a budget, which every router gets with the change and none keeps.
+/// Returns a budget declaration, which every router receives with a change but does not retain.
 fn budget_edit(workspace: u64, budget: u64) -> EntryEdit {
     let name: BudgetName = budget_name(budget).as_str().into();
     let declaration = BudgetDeclaration {
--- a/crates/beechsaddle-lab/src/measure/domain_bytes.rs
+++ b/crates/beechsaddle-lab/src/measure/domain_bytes.rs
@@ -1,5 +1,5 @@
-//! The `domain_bytes` module provides the bytes between the routers of a domain, by the real core and
-//! codec in model time.
+//! The `domain_bytes` module provides the bytes sent between the routers of a domain, measured with
+//! the real core and codec in simulated time.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -25,19 +25,19 @@
 use super::peer_bytes::packed_bytes;
 use crate::key_values::KeyValues;
 
-/// Domains that are measured, by their routers; the last is one of the planned size.
+/// The sizes of the measured domains in routers; the last is the planned size.
 const ROUTER_COUNTS: [usize; 5] = [2, 6, 12, 18, 24];
 
-/// How long the routers find each other before anything is counted, in milliseconds.
+/// The time for routers to discover each other before counting starts, in milliseconds.
 const WARM_UP_MS: u64 = 10_000;
 
-/// How long bytes are counted, in milliseconds.
+/// The time for which bytes are counted, in milliseconds.
 const COUNTED_MS: u64 = 60_000;
 
-/// The time between two edits, in milliseconds; about eight times as often as 11,000 a day.
+/// The time between two edits, in milliseconds; about eight times the rate of 11,000 edits a day.
 const EDIT_PERIOD_MS: u64 = 1_000;
 
-/// The domain that is measured.
+/// The name of the simulated domain.
 const DOMAIN: &str = "graz-nord";
 
 /// Measures domains of several sizes.
@@ -59,7 +59,7 @@
             .with("routers", routers)
             .with_float("heartbeat_bytes_per_second_and_router", heartbeats)
             .with_float("catalogue_bytes_per_edit_and_router", per_edit)
-            .with("in_force_everywhere", domain.is_in_force());
+            .with("in_force_everywhere", domain.is_in_effect());
         lines.push(line.to_string());
     }
     let fits = [
@@ -73,7 +73,7 @@
     lines
 }
 
-/// Packed bytes that routers sent each other, without headers of the network.
+/// Packed bytes sent between routers, without network headers.
 #[derive(Debug, Default)]
 struct SentBytes {
     heartbeats: u64,
@@ -87,7 +87,7 @@
     after: u64,
 }
 
-/// The routers of one domain and a platform, without loss or delay.
+/// A simulated domain and platform, without message loss or delay.
 struct ModelDomain {
     now: ClockTime,
     names: Vec<RouterIncarnation>,
@@ -133,12 +133,12 @@
             for router in 0..self.routers.len() {
                 self.queue.push_back((router, CoreEvent::Tick));
             }
-            self.settle();
+            self.drain_queue();
         }
     }
 
-    /// Whether all routers have the last edit.
-    fn is_in_force(&mut self) -> bool {
+    /// Whether all routers have applied the last edit, after a further 5 s.
+    fn is_in_effect(&mut self) -> bool {
         self.run(5_000, false);
         let edits = self.edits;
         self.routers
@@ -154,17 +154,17 @@
         self.answer_watches();
     }
 
-    fn settle(&mut self) {
+    fn drain_queue(&mut self) {
         while let Some((router, event)) = self.queue.pop_front() {
             let mut outbox = CoreOutbox::new();
             self.routers[router].handle(self.now, event, &mut outbox);
             for action in outbox.actions {
-                self.carry_out(router, action);
+                self.execute(router, action);
             }
         }
     }
 
-    fn carry_out(&mut self, router: usize, action: CoreAction) {
+    fn execute(&mut self, router: usize, action: CoreAction) {
         match action {
             CoreAction::Peer { to, message, .. } => self.deliver(router, &to, message),
             CoreAction::Platform { ticket, call } => self.on_platform(router, ticket, call),
--- a/crates/beechsaddle-lab/src/measure/fleet_cost.rs
+++ b/crates/beechsaddle-lab/src/measure/fleet_cost.rs
@@ -1,4 +1,4 @@
-//! The `fleet_cost` module provides what a running fleet costs over a while.
+//! The `fleet_cost` module provides the resource usage of a running fleet over a time span.
 
 use std::time::{Duration, Instant};
 
@@ -10,31 +10,31 @@
 use crate::load::PlatformReader;
 use crate::stand_in::platform::PlatformCounters;
 
-/// What a fleet costs: the mean over its routers, and the platform's calls and bytes a second.
+/// The cost of a fleet: means over its routers, and platform calls and bytes per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetCost {
     /// Processor time of a router, in percent of a core.
     pub cpu_percent: f64,
     /// Resident memory of a router, in kibibytes.
     pub rss_kib: f64,
-    /// Writes and deletes at the platform.
+    /// Writes and deletes at the platform, per second.
     pub writes: f64,
-    /// Reads, lists and watches at the platform.
+    /// Reads, lists and watches at the platform, per second.
     pub reads: f64,
-    /// Bytes of bodies from and to the platform.
+    /// Bytes of request and response bodies at the platform, per second.
     pub bytes: f64,
 }
 
-/// A fleet's size in one respect, and what it costs.
+/// The size of a fleet in one dimension, and its cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CostPoint {
-    /// The size.
+    /// The size in the dimension that is varied.
     pub x: f64,
-    /// The cost.
+    /// The cost at this size.
     pub cost: FleetCost,
 }
 
-/// Counts at one moment.
+/// Usage counters at one moment.
 #[derive(Clone, Debug)]
 pub struct CostReading {
     time: Instant,
@@ -43,11 +43,11 @@
 }
 
 impl CostReading {
-    /// Reads all routers and the platform now.
+    /// Reads the counters of all routers and of the platform.
     ///
     /// # Errors
     ///
-    /// When the platform does not answer.
+    /// Returns an error if the platform does not answer.
     pub async fn take(fleet: &LabFleet) -> eyre::Result<Self> {
         let platform = PlatformReader::new(fleet.platform().to_string());
         let processes = fleet.routers().values();
@@ -61,7 +61,7 @@
         })
     }
 
-    /// The cost since an earlier reading.
+    /// Returns the cost since an earlier reading.
     pub fn since(&self, earlier: &CostReading) -> FleetCost {
         let seconds = (self.time - earlier.time).as_secs_f64();
         let routers = self.routers.len().max(1) as f64;
@@ -86,11 +86,11 @@
 }
 
 impl FleetCost {
-    /// Watches a fleet for a while.
+    /// Measures a fleet for a time span.
     ///
     /// # Errors
     ///
-    /// When the platform does not answer.
+    /// Returns an error if the platform does not answer.
     pub async fn over(fleet: &LabFleet, span: Duration) -> eyre::Result<Self> {
         let before = CostReading::take(fleet).await?;
         sleep(span).await;
@@ -107,10 +107,10 @@
     }
 }
 
-/// One of the costs by name.
+/// The name of a cost and its accessor.
 type CostPart = (&'static str, fn(&FleetCost) -> f64);
 
-/// A line for each point, and a fit for each cost against `per`.
+/// Returns a line for each point, and a linear fit of each cost by `per`.
 pub fn cost_lines(per: &str, points: &[CostPoint]) -> Vec<KeyValues> {
     let costs: [CostPart; 5] = [
         ("cpu_percent", |cost| cost.cpu_percent),
--- a/crates/beechsaddle-lab/src/measure/grants/grant_figures.rs
+++ b/crates/beechsaddle-lab/src/measure/grants/grant_figures.rs
@@ -1,8 +1,8 @@
-//! The `grant_figures` module provides what one run of the grant model measured.
+//! The `grant_figures` module provides the results of one run of the grant model.
 
 use crate::key_values::KeyValues;
 
-/// Counts and shares of one run, or their means over several.
+/// Counts and shares of one run, or their means over several runs.
 #[derive(Clone, Debug, Default)]
 pub struct GrantFigures {
     /// Calls made.
@@ -12,24 +12,25 @@
     /// Calls refused although more than a hundredth of the budget, and enough for the call, was
     /// neither used, reserved nor written off.
     pub false_refusals: f64,
-    /// Tokens served above what was paid for.
+    /// Tokens served beyond the budgets.
     pub overspend: f64,
-    /// Written off at the end, in thousandths of the budget.
+    /// Tokens written off by the end, in thousandths of the budget.
     pub written_off_permille: f64,
-    /// Written off at the end, in tokens.
+    /// Tokens written off by the end.
     pub written_off: f64,
-    /// What was unreserved at the first refusal, in thousandths of the budget.
+    /// Tokens neither used, reserved nor written off at the first refusal, in thousandths of the
+    /// budget.
     pub left_permille: f64,
-    /// Platform reads a second.
+    /// Platform reads per second.
     pub reads_per_second: f64,
-    /// Platform writes, deletes and lists a second.
+    /// Platform writes, deletes and lists per second.
     pub writes_per_second: f64,
-    /// From the top-up to the first admitted call, for each domain.
+    /// Milliseconds from the top-up to the first admitted call of each domain.
     pub spendable_ms: Vec<Option<u64>>,
 }
 
 impl GrantFigures {
-    /// The means of several runs.
+    /// Returns the means of several runs, without `spendable_ms`.
     pub fn mean(runs: &[GrantFigures]) -> GrantFigures {
         let count = runs.len().max(1) as f64;
         let mean = |value: fn(&GrantFigures) -> f64| runs.iter().map(value).sum::<f64>() / count;
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The figures on refusals and losses.
+    /// Returns the results on refusals and write-offs.
     pub fn line(&self) -> KeyValues {
         let share = 1_000.0 * self.false_refusals / self.calls.max(1.0);
         KeyValues::new()
@@ -60,7 +61,7 @@
             .with("overspend", self.overspend)
     }
 
-    /// The figures on the platform's load.
+    /// Returns the results on platform load.
     pub fn cost_line(&self) -> KeyValues {
         KeyValues::new()
             .with_float("reads_per_second", self.reads_per_second)
--- a/crates/beechsaddle-lab/src/measure/grants/grant_model.rs
+++ b/crates/beechsaddle-lab/src/measure/grants/grant_model.rs
@@ -1,4 +1,5 @@
-//! The `grant_model` module provides money desks with callers, a network and a platform.
+//! The `grant_model` module provides a simulation of accounting managers with callers, a network
+//! and a platform.
 
 use std::collections::BTreeMap;
 
@@ -13,13 +14,13 @@
 use super::grant_setup::{GrantSetup, PlannedCall};
 use super::model_store::ModelStore;
 
-/// One way between two routers, in milliseconds.
+/// One-way latency between two routers, in milliseconds.
 const PEER_MS: u64 = 1;
 
-/// A call on the platform and back, in milliseconds.
+/// Round-trip time of a platform call, in milliseconds.
 const PLATFORM_MS: u64 = 6;
 
-/// How long the other routers need to know that one is gone, in milliseconds.
+/// Time until the other routers detect that a router is gone, in milliseconds.
 const GONE_MS: u64 = 2_000;
 
 const TICK_MS: u64 = 50;
@@ -40,7 +41,7 @@
 struct ModelRouter {
     me: RouterIncarnation,
     domain: usize,
-    desk: AccountingManager,
+    manager: AccountingManager,
     members: MemberTable,
     calls: u64,
 }
@@ -50,7 +51,7 @@
     is_admitted: bool,
 }
 
-/// Real money desks in model time.
+/// A simulation of the real accounting managers in simulated time.
 pub struct GrantModel<'a> {
     setup: &'a GrantSetup,
     now: u64,
@@ -67,7 +68,7 @@
 }
 
 impl<'a> GrantModel<'a> {
-    /// A fleet that has not yet started.
+    /// Creates a fleet with all calls, router deaths and top-ups scheduled.
     pub fn new(setup: &'a GrantSetup, seed: u64) -> Self {
         let mut model = GrantModel {
             setup,
@@ -87,28 +88,28 @@
             },
         };
         for budget in 0..setup.budgets {
-            model.pay_in(budget, "first");
+            model.add_top_up(budget, "first");
         }
         for index in 0..setup.routers() {
             let router = model.router(index, 1);
             model.routers.push(router);
         }
-        model.introduce_all();
+        model.register_members();
         let (calls, deaths) = setup.plan(seed);
         for call in calls {
-            model.at(call.at, ModelEvent::Arrive(call));
+            model.schedule(call.at, ModelEvent::Arrive(call));
         }
         for (at, router) in deaths {
-            model.at(at, ModelEvent::Death(router));
+            model.schedule(at, ModelEvent::Death(router));
         }
         if let Some(at) = setup.top_up_ms {
-            model.at(at, ModelEvent::TopUp);
+            model.schedule(at, ModelEvent::TopUp);
         }
-        model.at(TICK_MS, ModelEvent::Tick);
+        model.schedule(TICK_MS, ModelEvent::Tick);
         model
     }
 
-    /// Runs to the end of the calls and tells what was measured.
+    /// Runs until 15 s after the last arrival and returns the results.
     pub fn run(mut self) -> GrantFigures {
         let end = self.setup.duration_ms + 15_000;
         while let Some(((at, _), event)) = self.queue.pop_first() {
@@ -116,7 +117,7 @@
                 break;
             }
             self.now = at;
-            self.take(event);
+            self.handle(event);
         }
         self.finish()
     }
@@ -139,41 +140,41 @@
         self.figures
     }
 
-    fn at(&mut self, at: u64, event: ModelEvent) {
+    fn schedule(&mut self, at: u64, event: ModelEvent) {
         self.count += 1;
         self.queue.insert((at, self.count), event);
     }
 
-    fn take(&mut self, event: ModelEvent) {
+    fn handle(&mut self, event: ModelEvent) {
         match event {
             ModelEvent::Tick => {
                 for index in 0..self.routers.len() {
-                    self.step(index, |desk, now, members, outbox| {
-                        desk.tick(now, members, outbox);
+                    self.step(index, |manager, now, members, outbox| {
+                        manager.tick(now, members, outbox);
                     });
                 }
-                self.at(self.now + TICK_MS, ModelEvent::Tick);
+                self.schedule(self.now + TICK_MS, ModelEvent::Tick);
             }
             ModelEvent::Arrive(planned) => self.arrive(planned),
             ModelEvent::End(call) => self.end(&call),
             ModelEvent::Peer(from, to, message) => {
                 if let Some(index) = self.index_of(&to) {
-                    self.step(index, |desk, now, members, outbox| {
-                        desk.on_peer(now, &from, message, members, outbox);
+                    self.step(index, |manager, now, members, outbox| {
+                        manager.on_peer(now, &from, message, members, outbox);
                     });
                 }
             }
             ModelEvent::Reply(to, ticket, reply) => {
                 if let Some(index) = self.index_of(&to) {
-                    self.step(index, |desk, now, members, outbox| {
-                        desk.on_platform(now, ticket, reply, members, outbox);
+                    self.step(index, |manager, now, members, outbox| {
+                        manager.on_platform(now, ticket, reply, members, outbox);
                     });
                 }
             }
             ModelEvent::Death(index) => self.kill(index),
-            ModelEvent::Gone(router) => self.tell_gone(&router),
+            ModelEvent::Gone(router) => self.notify_gone(&router),
             ModelEvent::TopUp => {
-                self.pay_in(0, "second");
+                self.add_top_up(0, "second");
                 self.paid *= 2;
                 self.topped_up_at = Some(self.now);
             }
@@ -204,8 +205,8 @@
             is_admitted: false,
         };
         self.calls.insert(call, entry);
-        self.step(index, |desk, now, members, outbox| {
-            desk.admit(now, request, members, outbox);
+        self.step(index, |manager, now, members, outbox| {
+            manager.admit(now, request, members, outbox);
         });
     }
 
@@ -217,8 +218,8 @@
         self.reserved[planned.budget] -= self.setup.bound;
         self.served[planned.budget] += planned.tokens;
         if let Some(index) = self.index_of(&call.router) {
-            self.step(index, |desk, now, members, outbox| {
-                desk.settle(now, call, planned.tokens, true, true, members, outbox);
+            self.step(index, |manager, now, members, outbox| {
+                manager.settle(now, call, planned.tokens, true, true, members, outbox);
             });
         }
     }
@@ -235,7 +236,7 @@
             if let Some(topped_up_at) = self.topped_up_at {
                 self.figures.spendable_ms[planned.domain].get_or_insert(now - topped_up_at);
             }
-            self.at(now + planned.lasts_ms, ModelEvent::End(call.clone()));
+            self.schedule(now + planned.lasts_ms, ModelEvent::End(call.clone()));
             return;
         }
         self.calls.remove(call);
@@ -254,7 +255,7 @@
         }
     }
 
-    /// A router dies with its calls; another one takes its place at once.
+    /// Kills a router and its calls, and replaces it at once by its next incarnation.
     fn kill(&mut self, index: usize) {
         let old = self.routers[index].me.clone();
         let lost: Vec<CallId> = self
@@ -270,11 +271,11 @@
             }
         }
         self.routers[index] = self.router(index, old.epoch + 1);
-        self.introduce_all();
-        self.at(self.now + GONE_MS, ModelEvent::Gone(old));
+        self.register_members();
+        self.schedule(self.now + GONE_MS, ModelEvent::Gone(old));
     }
 
-    fn tell_gone(&mut self, gone: &RouterIncarnation) {
+    fn notify_gone(&mut self, gone: &RouterIncarnation) {
         let signal = CoreSignal::MemberGone(gone.clone());
         for index in 0..self.routers.len() {
             let router = &mut self.routers[index];
@@ -285,8 +286,8 @@
             let mut entry = member(router.domain, gone);
             entry.liveness = MemberLiveness::Gone;
             router.members.insert(gone.clone(), entry);
-            self.step(index, |desk, now, members, outbox| {
-                desk.on_signal(now, &signal, members, outbox);
+            self.step(index, |manager, now, members, outbox| {
+                manager.on_signal(now, &signal, members, outbox);
             });
         }
     }
@@ -298,16 +299,16 @@
     ) {
         let router = &mut self.routers[index];
         let mut outbox = CoreOutbox::new();
-        // A router starts some time after the epoch, as a clock does.
+        // Router clocks start well after zero, as real clocks do.
         let now = ClockTime::from_millis(1_000_000 + self.now);
-        step(&mut router.desk, now, &router.members, &mut outbox);
+        step(&mut router.manager, now, &router.members, &mut outbox);
         let me = router.me.clone();
         for action in outbox.actions {
             match action {
                 CoreAction::Platform { ticket, call } => self.call_platform(&me, ticket, call),
                 CoreAction::Peer { to, message, .. } => {
                     let event = ModelEvent::Peer(me.clone(), to, message);
-                    self.at(self.now + PEER_MS, event);
+                    self.schedule(self.now + PEER_MS, event);
                 }
                 _ => {}
             }
@@ -325,17 +326,17 @@
         ticket: PlatformTicket,
         call: PlatformCall,
     ) {
-        let is_away = self
+        let is_unavailable = self
             .setup
             .outage_ms
             .is_some_and(|(from, to)| (from..to).contains(&self.now));
-        let reply = if is_away {
+        let reply = if is_unavailable {
             PlatformReply::Unreachable
         } else {
             self.store.apply(call)
         };
         let event = ModelEvent::Reply(me.clone(), ticket, reply);
-        self.at(self.now + PLATFORM_MS, event);
+        self.schedule(self.now + PLATFORM_MS, event);
     }
 
     fn index_of(&self, router: &RouterIncarnation) -> Option<usize> {
@@ -346,7 +347,7 @@
         let me = RouterIncarnation::new(HostName::new(format!("router-{index}")), epoch);
         let domain = index / self.setup.routers_per_domain;
         ModelRouter {
-            desk: AccountingManager::new(self.setup.options.clone(), me.clone()),
+            manager: AccountingManager::new(self.setup.options.clone(), me.clone()),
             members: MemberTable::new(me.clone(), domain_name(domain)),
             me,
             domain,
@@ -354,7 +355,7 @@
         }
     }
 
-    fn introduce_all(&mut self) {
+    fn register_members(&mut self) {
         let known: Vec<(RouterIncarnation, usize)> = self
             .routers
             .iter()
@@ -381,7 +382,7 @@
         }
     }
 
-    fn pay_in(&mut self, budget: usize, id: &str) {
+    fn add_top_up(&mut self, budget: usize, id: &str) {
         let key = self.shard_of(budget);
         let mut ledger = match self.store.get(&key) {
             Some(PlatformObject::Ledger(ledger)) => ledger.clone(),
--- a/crates/beechsaddle-lab/src/measure/grants/grant_setup.rs
+++ b/crates/beechsaddle-lab/src/measure/grants/grant_setup.rs
@@ -1,34 +1,34 @@
-//! The `grant_setup` module provides the conditions of one run and its callers.
+//! The `grant_setup` module provides the parameters of one run and its calls.
 
 use beechsaddle_core::accounting::AccountingOptions;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Shares of the callers in each of three domains, in hundredths.
+/// The shares of calls in the three domains, in percent.
 const DOMAIN_SHARES: [u64; 3] = [60, 30, 10];
 
-/// The conditions of one run. Spans are milliseconds, amounts tokens.
+/// The parameters of one run. Times are in milliseconds, amounts in tokens.
 #[derive(Clone, Debug)]
 pub struct GrantSetup {
-    /// Settings of the money desks.
+    /// Options of the accounting managers.
     pub options: AccountingOptions,
     /// Routers in each of three domains.
     pub routers_per_domain: usize,
-    /// Budgets, all alike.
+    /// The number of budgets, all of the same size.
     pub budgets: usize,
-    /// What each of them has.
+    /// The tokens of each budget.
     pub budget_tokens: u64,
-    /// What a call reserves; it uses between a fifth and three fifths of it.
+    /// The reservation of a call, which then uses between a fifth and three fifths of it.
     pub bound: u64,
-    /// Calls a second over all domains.
+    /// Calls per second in all domains together.
     pub calls_per_second: u64,
-    /// How long callers call.
+    /// The time during which calls arrive.
     pub duration_ms: u64,
-    /// From when to when the platform is away.
+    /// Start and end of the platform outage.
     pub outage_ms: Option<(u64, u64)>,
-    /// Routers that die, spread over the run; each is replaced.
+    /// Router deaths, spread evenly over the run; each router is replaced.
     pub deaths: u64,
-    /// When the first budget is topped up by as much again.
+    /// When the first budget is topped up by its initial amount.
     pub top_up_ms: Option<u64>,
 }
 
@@ -49,30 +49,30 @@
     }
 }
 
-/// A call that a caller will make.
+/// A scheduled call.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedCall {
-    /// When it arrives.
+    /// The time of arrival.
     pub at: u64,
-    /// In which domain.
+    /// The index of the domain.
     pub domain: usize,
-    /// At which of the domain's routers.
+    /// The index of the router in its domain.
     pub router: usize,
-    /// On which budget.
+    /// The index of the budget.
     pub budget: usize,
-    /// What it uses.
+    /// The tokens that the call uses.
     pub tokens: u64,
-    /// How long it runs.
+    /// The duration of the call.
     pub lasts_ms: u64,
 }
 
 impl GrantSetup {
-    /// All routers.
+    /// Returns the number of routers in all domains together.
     pub fn routers(&self) -> usize {
         self.routers_per_domain * DOMAIN_SHARES.len()
     }
 
-    /// The calls and the deaths of a run: the same for all policies.
+    /// Returns the calls and router deaths of a run, which are the same for all policies.
     pub fn plan(&self, seed: u64) -> (Vec<PlannedCall>, Vec<(u64, usize)>) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let count = self.calls_per_second * self.duration_ms / 1_000;
--- a/crates/beechsaddle-lab/src/measure/grants/mod.rs
+++ b/crates/beechsaddle-lab/src/measure/grants/mod.rs
@@ -1,8 +1,8 @@
-//! The `grants` module provides the experiments on budgets: what is refused falsely and what is
-//! written off, against endurance, scarcity and deaths, and what grants cost the platform.
+//! The `grants` module provides the experiments on budgets: false refusals and write-offs by outage
+//! reserve, budget size and router deaths, and the load of grants on the platform.
 //!
-//! The routers' money desks are the real ones; callers, network and platform are a small model in
-//! model time. The even split gives each router a fixed part of the budget in the same run.
+//! The accounting managers are the real ones; callers, network and platform are simulated. The
+//! baseline `even_split` gives each router a fixed share of the budget and gets the same calls.
 
 mod grant_figures;
 mod grant_model;
@@ -16,28 +16,29 @@
 pub use grant_model::GrantModel;
 pub use grant_setup::GrantSetup;
 
-/// How many seeds each condition is run with; figures are their means.
+/// The number of seeds per set of parameters; results are means over them.
 const SEEDS: u64 = 3;
 
-/// Outages that a mark should cover, in milliseconds.
-const ENDURANCES_MS: [u64; 5] = [2_000, 5_000, 10_000, 30_000, 60_000];
+/// The measured outage reserves: durations of an outage that held tokens should last for, in
+/// milliseconds.
+const OUTAGE_RESERVES_MS: [u64; 5] = [2_000, 5_000, 10_000, 30_000, 60_000];
 
-/// Budgets in reservations of one call.
+/// The measured budget sizes, in reservations of one call.
 const BUDGET_BOUNDS: [u64; 4] = [100, 400, 1_600, 6_400];
 
-/// Deaths of routers in an hour, all of them together.
+/// The measured rates of router deaths in the whole fleet, per hour.
 const DEATHS_PER_HOUR: [u64; 2] = [60, 180];
 
-/// Routers in each of three domains.
+/// The measured fleet sizes, in routers of each of three domains.
 const ROUTERS_PER_DOMAIN: [usize; 4] = [1, 2, 4, 8];
 
-/// Budgets that are drawn on at the same time.
+/// The measured numbers of budgets in use at the same time.
 const BUDGET_COUNTS: [usize; 3] = [1, 10, 40];
 
-/// Runs all of them.
+/// Runs all experiments on budgets.
 pub fn run(seed: u64) -> Vec<String> {
     let mut lines = Vec::new();
-    lines.extend(endurance_lines(seed));
+    lines.extend(outage_lines(seed));
     lines.extend(scarcity_lines(seed));
     lines.extend(death_lines(seed));
     lines.extend(top_up_lines(seed));
@@ -45,11 +46,12 @@
     lines
 }
 
-/// An ample budget and an outage of 30 s, without and with deaths, against the endurance.
-fn endurance_lines(seed: u64) -> Vec<String> {
+/// Measures a large budget in an outage of 30 s by the outage reserve, with and without router
+/// deaths.
+fn outage_lines(seed: u64) -> Vec<String> {
     let mut lines = Vec::new();
     for deaths in [0, 3] {
-        for endurance_ms in ENDURANCES_MS {
+        for endurance_ms in OUTAGE_RESERVES_MS {
             let setup = GrantSetup {
                 outage_ms: Some((60_000, 90_000)),
                 deaths,
@@ -60,13 +62,13 @@
                 ..GrantSetup::default()
             };
             let head = format!("run=endurance deaths={deaths} endurance_ms={endurance_ms}");
-            lines.extend(both_lines(&head, seed, &setup));
+            lines.extend(compare_policies(&head, seed, &setup));
         }
     }
     lines
 }
 
-/// A budget that runs out, against how many reservations it holds.
+/// Measures a budget that runs out, by its size in reservations.
 fn scarcity_lines(seed: u64) -> Vec<String> {
     let mut lines = Vec::new();
     for bounds in BUDGET_BOUNDS {
@@ -77,12 +79,12 @@
             ..setup
         };
         let head = format!("run=scarcity budget_bounds={bounds}");
-        lines.extend(both_lines(&head, seed, &setup));
+        lines.extend(compare_policies(&head, seed, &setup));
     }
     lines
 }
 
-/// An ample budget, against deaths of routers, for two endurances.
+/// Measures a large budget by the rate of router deaths, for two outage reserves.
 fn death_lines(seed: u64) -> Vec<String> {
     let mut lines = Vec::new();
     for per_hour in DEATHS_PER_HOUR {
@@ -97,13 +99,14 @@
                 ..setup
             };
             let head = format!("run=deaths deaths_per_hour={per_hour} endurance_ms={endurance_ms}");
-            lines.extend(both_lines(&head, seed, &setup));
+            lines.extend(compare_policies(&head, seed, &setup));
         }
     }
     lines
 }
 
-/// From an applied top-up of an empty budget to the first call that is admitted, in each domain.
+/// Measures the time from the top-up of an exhausted budget to the first admitted call of each
+/// domain.
 fn top_up_lines(seed: u64) -> Vec<String> {
     let setup = GrantSetup::default();
     let setup = GrantSetup {
@@ -126,7 +129,7 @@
     lines
 }
 
-/// Platform calls a second against routers and against budgets.
+/// Measures platform calls per second by routers and by budgets.
 fn cost_lines(seed: u64) -> Vec<String> {
     let mut lines = Vec::new();
     for routers in ROUTERS_PER_DOMAIN {
@@ -152,7 +155,7 @@
     lines
 }
 
-fn both_lines(head: &str, seed: u64, setup: &GrantSetup) -> Vec<String> {
+fn compare_policies(head: &str, seed: u64, setup: &GrantSetup) -> Vec<String> {
     let demand = mean_figures(seed, setup).line();
     let split: Vec<GrantFigures> = (0..SEEDS)
         .map(|offset| split_model::run_split(setup, seed + offset))
@@ -164,7 +167,7 @@
     ]
 }
 
-/// The mean over several seeds.
+/// Returns the mean results over several seeds.
 pub fn mean_figures(seed: u64, setup: &GrantSetup) -> GrantFigures {
     let figures: Vec<GrantFigures> = (0..SEEDS)
         .map(|offset| GrantModel::new(setup, seed + offset).run())
--- a/crates/beechsaddle-lab/src/measure/grants/model_store.rs
+++ b/crates/beechsaddle-lab/src/measure/grants/model_store.rs
@@ -1,4 +1,4 @@
-//! The `model_store` module provides the platform of the grant model.
+//! The `model_store` module provides the simulated platform of the grant model.
 
 use std::collections::BTreeMap;
 
@@ -6,30 +6,30 @@
 use beechsaddle_core::platform::{PlatformCall, PlatformReply, StoredObject, WriteGuard};
 use beechsaddle_core::prelude::*;
 
-/// Objects in memory, and how often they were asked for.
+/// An in-memory object store that counts calls.
 #[derive(Debug, Default)]
 pub struct ModelStore {
     objects: BTreeMap<ObjectKey, (u64, PlatformObject)>,
     revision: u64,
-    /// Reads.
+    /// Number of reads.
     pub reads: u64,
-    /// All other calls.
+    /// Number of writes, deletes and lists.
     pub writes: u64,
 }
 
 impl ModelStore {
-    /// The object under a key.
+    /// Returns the object of a key.
     pub fn get(&self, key: &ObjectKey) -> Option<&PlatformObject> {
         self.objects.get(key).map(|(_, object)| object)
     }
 
-    /// Sets an object without any condition.
+    /// Writes an object unconditionally.
     pub fn put(&mut self, key: ObjectKey, object: PlatformObject) {
         self.revision += 1;
         self.objects.insert(key, (self.revision, object));
     }
 
-    /// Carries out a call.
+    /// Executes a call and returns its reply.
     pub fn apply(&mut self, call: PlatformCall) -> PlatformReply {
         match call {
             PlatformCall::Read { key } => self.read(key),
--- a/crates/beechsaddle-lab/src/measure/grants/split_model.rs
+++ b/crates/beechsaddle-lab/src/measure/grants/split_model.rs
@@ -1,14 +1,15 @@
-//! The `split_model` module provides the even split as a baseline: each router has a fixed part.
+//! The `split_model` module provides the baseline in which each router has a fixed share of a
+//! budget.
 //!
-//! It is a generous one: every bill is durable at once, a replaced router goes on with its part,
-//! and a death loses only the reservations of the calls that ran there.
+//! Its assumptions favour the baseline: every bill is durable at once, a replaced router retains
+//! its share, and a router death loses only the reservations of the calls that ran there.
 
 use std::collections::BTreeMap;
 
 use super::grant_figures::GrantFigures;
 use super::grant_setup::{GrantSetup, PlannedCall};
 
-/// Runs the same calls and deaths over fixed parts.
+/// Runs the same calls and router deaths with fixed shares.
 pub fn run_split(setup: &GrantSetup, seed: u64) -> GrantFigures {
     let (calls, deaths) = setup.plan(seed);
     let part = setup.budget_tokens / setup.routers() as u64;
@@ -39,9 +40,9 @@
 
 #[derive(Debug, Default)]
 struct SplitModel {
-    /// What each router has left of each budget, without what is reserved.
+    /// The unreserved tokens of each router's share of each budget.
     parts: Vec<u64>,
-    /// Running calls by their end: the part, the router and the tokens that come back.
+    /// Running calls by end time: index of the share, router, and tokens to return.
     running: BTreeMap<(u64, u64), (usize, usize, u64)>,
     count: u64,
     refused: f64,
@@ -78,8 +79,8 @@
             if entry.key().0 > at {
                 return;
             }
-            let (part, _, back) = entry.remove();
-            self.parts[part] += back;
+            let (part, _, refund) = entry.remove();
+            self.parts[part] += refund;
         }
     }
 
--- a/crates/beechsaddle-lab/src/measure/idle_streams.rs
+++ b/crates/beechsaddle-lab/src/measure/idle_streams.rs
@@ -1,4 +1,4 @@
-//! The `idle_streams` module provides streams that are held open.
+//! The `idle_streams` module provides streams that are kept open without traffic.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     CallKind, CallerSettings, HttpClient, OpenConnection, PlannedCall, build_request,
 };
 
-/// Streams that gave their first part and are then left open.
+/// Streams that received their first part and are then left open.
 #[derive(Debug)]
 pub struct IdleStreams {
     settings: CallerSettings,
@@ -19,7 +19,7 @@
 }
 
 impl IdleStreams {
-    /// No streams yet, through the router at an address.
+    /// Creates an empty set of streams through the router at an address.
     pub fn new(settings: CallerSettings, router: String) -> Self {
         IdleStreams {
             settings,
@@ -29,11 +29,11 @@
         }
     }
 
-    /// Opens streams one after another until there are `count`.
+    /// Opens streams one after another until `count` are open.
     ///
     /// # Errors
     ///
-    /// When one is refused or breaks.
+    /// Returns an error if a stream is refused or its connection fails.
     pub async fn open_until(&mut self, count: usize) -> eyre::Result<()> {
         while self.open.len() < count {
             let stream = self.open_one().await?;
@@ -59,7 +59,7 @@
         eyre::ensure!(status.is_success(), "stream {number} was refused: {status}");
         let mut body = response.into_body();
         let first = body.frame().await;
-        let first = first.ok_or_else(|| eyre::eyre!("stream {number} ended at once"))?;
+        let first = first.ok_or_else(|| eyre::eyre!("stream {number} ended without data"))?;
         first?;
         Ok((body, connection))
     }
--- a/crates/beechsaddle-lab/src/measure/leave.rs
+++ b/crates/beechsaddle-lab/src/measure/leave.rs
@@ -1,5 +1,5 @@
-//! The `leave` module provides the experiment that measures how long a leaving target still gets
-//! work, and what the news of targets costs.
+//! The `leave` module provides the experiment that measures how long a leaving target still
+//! receives calls, and the cost of target updates between routers.
 
 use std::collections::BTreeSet;
 
@@ -16,25 +16,25 @@
 
 use super::routing::{RoutingTrial, TrialSetup};
 
-/// How many routers of a domain are measured.
+/// The sizes of the measured domains, in routers.
 const ROUTERS: [usize; 5] = [2, 3, 8, 16, 24];
 
-/// How many targets a domain has for each router: 195 for 24 routers.
+/// Targets of a domain per router: about 195 targets for 24 routers.
 const TARGETS_PER_ROUTER: usize = 8;
 
-/// How many targets leave one after the other.
+/// The number of targets that leave, one after the other.
 const LEAVES: usize = 20;
 
-/// How long a message takes, in ticks.
+/// The delay of a message between two routers, in ticks.
 const MESSAGE_TICKS: u64 = 1;
 
-/// Ticks between two heartbeats.
+/// The time between two heartbeats of a router, in ticks.
 const HEARTBEAT_TICKS: u64 = 10;
 
-/// Shares of messages that are lost, in percent.
+/// The measured message loss rates, in percent.
 const LOST_PERCENT: [u32; 2] = [0, 30];
 
-/// Measures domains of several sizes.
+/// Measures domains of several sizes, with and without message loss.
 pub fn run(seed: u64) -> Vec<String> {
     let mut lines = Vec::new();
     for routers in ROUTERS {
@@ -45,15 +45,15 @@
     lines
 }
 
-/// News on its way from one router to another.
-struct NewsMessage {
+/// Target updates in flight from one router to another.
+struct UpdateMessage {
     arrives: u64,
     from: usize,
     to: usize,
-    news: Vec<TargetUpdate>,
+    updates: Vec<TargetUpdate>,
 }
 
-/// One domain whose targets leave one after the other.
+/// A simulated domain whose targets leave one after the other.
 struct LeaveTrial {
     routers: Vec<(TargetTable, MemberTable)>,
     targets: usize,
@@ -61,7 +61,7 @@
     leaving: BTreeSet<String>,
     random: ChaCha8Rng,
     probes: u64,
-    news: u64,
+    updates: u64,
 }
 
 impl LeaveTrial {
@@ -81,7 +81,7 @@
             leaving: BTreeSet::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
             probes: 0,
-            news: 0,
+            updates: 0,
         }
     }
 
@@ -89,7 +89,7 @@
         let mut spans_ms = Vec::new();
         let mut tick = 0_u64;
         let mut messages = Vec::new();
-        // Targets are probed once before the first one leaves.
+        // All targets are probed at least once before the first one leaves.
         while tick < 40 {
             self.step(tick, &mut messages);
             tick += 1;
@@ -98,9 +98,9 @@
             let name = format!("engine-{number}");
             self.leaving.insert(name.clone());
             let since = tick;
-            // The phase of the leave against probes and heartbeats is drawn.
+            // A random pause varies the phase of the leave relative to probes and heartbeats.
             let pause = self.random.random_range(0..20);
-            while !self.is_in_force(tick, &name) && tick - since < 400 {
+            while !self.is_in_effect(tick, &name) && tick - since < 400 {
                 self.step(tick, &mut messages);
                 tick += 1;
             }
@@ -123,17 +123,17 @@
             spans_ms[spans_ms.len() / 2],
             spans_ms[spans_ms.len() - 1],
             self.probes as f64 / seconds / routers,
-            self.news as f64 / seconds / routers,
+            self.updates as f64 / seconds / routers,
         )
     }
 
-    fn step(&mut self, tick: u64, messages: &mut Vec<NewsMessage>) {
+    fn step(&mut self, tick: u64, messages: &mut Vec<UpdateMessage>) {
         let now = ClockTime::from_millis(tick * TICK_MS);
         for message in messages.extract_if(.., |message| message.arrives <= tick) {
             let sender = self.routers[message.from].1.me().clone();
             self.routers[message.to]
                 .0
-                .on_updates(now, &sender, &message.news);
+                .on_updates(now, &sender, &message.updates);
         }
         for number in 0..self.routers.len() {
             self.probe(now, number);
@@ -142,15 +142,15 @@
             if !is_due && !table.has_urgent_update() {
                 continue;
             }
-            let news = table.take_updates(now);
-            self.news += (news.len() * (self.routers.len() - 1)) as u64;
+            let updates = table.take_updates(now);
+            self.updates += (updates.len() * (self.routers.len() - 1)) as u64;
             for to in (0..self.routers.len()).filter(|to| *to != number) {
                 if self.random.random_range(0..100) >= self.lost_percent {
-                    messages.push(NewsMessage {
+                    messages.push(UpdateMessage {
                         arrives: tick + MESSAGE_TICKS,
                         from: number,
                         to,
-                        news: news.clone(),
+                        updates: updates.clone(),
                     });
                 }
             }
@@ -184,8 +184,8 @@
         }
     }
 
-    /// Whether no router gives the target work any more.
-    fn is_in_force(&self, tick: u64, name: &str) -> bool {
+    /// Whether no router sends calls to the target any more.
+    fn is_in_effect(&self, tick: u64, name: &str) -> bool {
         let now = ClockTime::from_millis(tick * TICK_MS);
         self.routers.iter().all(|(table, _)| {
             table
--- a/crates/beechsaddle-lab/src/measure/mod.rs
+++ b/crates/beechsaddle-lab/src/measure/mod.rs
@@ -1,6 +1,6 @@
 //! The `measure` module provides the experiments behind the figures in the documentation.
 //!
-//! To add an experiment: a `mod` line and a line in [`EXPERIMENTS`].
+//! A new experiment needs a `mod` line and an entry in [`EXPERIMENTS`].
 
 mod catalogue_cost;
 mod domain_bytes;
@@ -36,7 +36,7 @@
 pub use slope_fit::SlopeFit;
 pub use thread_cost::read_thread_cpu;
 
-/// Every experiment, in the order of `measure --list`.
+/// All experiments, in the order of `measure --list`.
 pub const EXPERIMENTS: &[MeasureExperiment] = &[
     MeasureExperiment {
         name: "object-bytes",
@@ -120,10 +120,10 @@
     },
 ];
 
-/// The seed when none is given.
+/// The seed if none is given.
 const DEFAULT_SEED: u64 = 1;
 
-/// Describes the `measure` subcommand.
+/// Returns the arguments of the `measure` subcommand.
 pub fn command() -> Command {
     Command::new("measure")
         .about("Runs one experiment and prints a key=value line for each measured point")
@@ -148,7 +148,7 @@
         )
 }
 
-/// Runs the `measure` subcommand.
+/// Runs the `measure` subcommand and prints the results.
 pub fn run(matches: &ArgMatches) -> eyre::Result<()> {
     if matches.get_flag("list") {
         print_list();
@@ -166,7 +166,7 @@
     Ok(())
 }
 
-/// The experiment of that name.
+/// Returns the experiment with a name.
 pub fn find(name: &str) -> Option<&'static MeasureExperiment> {
     EXPERIMENTS
         .iter()
--- a/crates/beechsaddle-lab/src/measure/object_bytes.rs
+++ b/crates/beechsaddle-lab/src/measure/object_bytes.rs
@@ -1,4 +1,4 @@
-//! The `object_bytes` module provides the sizes of objects at the platform.
+//! The `object_bytes` module provides the measured sizes of platform objects.
 
 use beechsaddle_core::objects::PlatformObject;
 use beechsaddle_wire::{OBJECT_BYTES_MAX, encode_object};
@@ -7,10 +7,10 @@
 use super::sample_objects::{base_of, dedup_of, hosts_of, keys_of, ledger_of, segment_of};
 use crate::key_values::KeyValues;
 
-/// How many items the measured objects hold.
+/// Numbers of items in the measured objects.
 const COUNTS: [u64; 5] = [1, 10, 100, 300, 1_000];
 
-/// An object and what one item of it is.
+/// The name of an object, the name of its items, and a constructor by number of items.
 type ObjectKind = (&'static str, &'static str, fn(u64) -> PlatformObject);
 
 const KINDS: [ObjectKind; 6] = [
--- a/crates/beechsaddle-lab/src/measure/overhead.rs
+++ b/crates/beechsaddle-lab/src/measure/overhead.rs
@@ -1,5 +1,5 @@
-//! The `overhead` module provides what a router adds to a call, against the same engine asked
-//! straight in the same run.
+//! The `overhead` module provides the latency and processor time that a router adds to a call,
+//! compared to direct calls to the same engine in the same run.
 
 use std::time::Duration;
 
@@ -13,20 +13,20 @@
     run_plan,
 };
 
-/// The router that all calls of the experiment go through; the other one is its peer.
+/// The router that serves all calls of the experiment; the other router is its peer.
 const ROUTER: &str = "domain-0-1";
 
-/// The most tokens of a chat, for the slope of processor time a token.
+/// The measured limits of tokens per chat, for the slope of processor time per token.
 const TOKENS: [u64; 4] = [8, 32, 96, 192];
 
-/// Calls a second, on each of both ways at the same time.
+/// Calls per second on each of the two concurrent paths, routed and direct.
 const RATE: f64 = 100.0;
 
-/// How long each point takes.
+/// The measuring time of each point.
 const SPAN: Duration = Duration::from_secs(10);
 
-/// Sends the same calls through a router and straight to its engine at the same time, for several
-/// lengths of answers.
+/// Sends the same calls through a router and directly to its engine at the same time, for several
+/// response lengths.
 pub fn run(seed: u64) -> Vec<String> {
     run_async(measure(seed))
 }
@@ -46,7 +46,7 @@
         routers: vec![fleet.target_address("engines-1")?],
         ..through.clone()
     };
-    // Connections, grants and caches are warm when the first point starts.
+    // Warms up connections, grants and caches before the first point.
     run_both(&through, &straight, seed, 8, Duration::from_secs(2)).await?;
     let mut lines = Vec::new();
     let mut costs = Vec::new();
@@ -120,11 +120,11 @@
 }
 
 fn sender(settings: &CallerSettings) -> CallSender {
-    let patience = CallerPatience {
+    let retry_policy = CallerPatience {
         retries: 0,
         try_timeout: Duration::from_secs(30),
     };
-    CallSender::new(settings.clone().into(), patience)
+    CallSender::new(settings.clone().into(), retry_policy)
 }
 
 fn added(routed: &LoadOutcome, direct: &LoadOutcome) -> KeyValues {
--- a/crates/beechsaddle-lab/src/measure/peer_bytes.rs
+++ b/crates/beechsaddle-lab/src/measure/peer_bytes.rs
@@ -1,4 +1,4 @@
-//! The `peer_bytes` module provides sizes and processor time of encoded messages between routers.
+//! The `peer_bytes` module provides the sizes and coding times of messages between routers.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -10,13 +10,13 @@
 use super::peer_samples::{call_messages, heartbeat};
 use crate::key_values::KeyValues;
 
-/// How many targets' news a heartbeat carries.
+/// Numbers of target updates in a heartbeat.
 const TARGET_COUNTS: [usize; 6] = [0, 8, 16, 48, 96, 195];
 
-/// How often each message is encoded and decoded for its time.
+/// Number of timed encodings and decodings of each message.
 const ROUNDS: u32 = 2_000;
 
-/// Measures each kind of message by itself.
+/// Measures each kind of message separately.
 pub fn run() -> Vec<String> {
     let mut lines = Vec::new();
     for engines in [false, true] {
@@ -62,7 +62,7 @@
     encode_message(message).map_or(0, |bytes| bytes.len())
 }
 
-/// The size of a message as it is sent, in bytes.
+/// Returns the size of a message in the packed encoding used between routers, in bytes.
 pub fn packed_bytes(message: &PeerMessage) -> usize {
     let mut bytes = Vec::new();
     if let Ok(builder) = build_message(message) {
--- a/crates/beechsaddle-lab/src/measure/peer_fleet.rs
+++ b/crates/beechsaddle-lab/src/measure/peer_fleet.rs
@@ -1,4 +1,4 @@
-//! The `peer_fleet` module provides one measured edge and its peers, all in this process.
+//! The `peer_fleet` module provides a measured peer edge and its peers, all in one process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,27 +13,27 @@
 use super::peer_samples::host_name;
 use super::read_thread_cpu;
 
-/// The thread of the measured edge.
+/// The thread name of the measured edge.
 const MEASURED_THREAD: &str = "peers-measured";
 
-/// The secret of the measured fleet.
+/// The shared secret of the edges.
 const SECRET: &str = "a secret for measurements on one machine";
 
-/// One edge with what it hands to its core.
+/// A peer edge and the channel on which it delivers events to its core.
 pub struct FleetEdge {
-    /// Its incarnation.
+    /// The incarnation of the router.
     pub me: RouterIncarnation,
-    /// The way to it.
+    /// The handle for sending messages and reading counts.
     pub handle: PeersHandle,
-    /// What it received.
+    /// The events received.
     pub events: Receiver<CoreEvent>,
 }
 
-/// One measured edge and its peers.
+/// A measured edge and its peers.
 pub struct PeerFleet {
-    /// The edge that is measured.
+    /// The measured edge.
     pub measured: FleetEdge,
-    /// Its peers.
+    /// The peers of the measured edge.
     pub peers: Vec<FleetEdge>,
 }
 
@@ -48,20 +48,20 @@
         Some(FleetEdge { me, handle, events })
     }
 
-    /// Sends to another edge.
+    /// Sends a message to another edge.
     pub fn send(&self, to: &FleetEdge, message: PeerMessage) {
         let address = to.handle.local_address().to_string();
         self.handle.send(to.me.clone(), address, message);
     }
 
-    /// Throws away what was received.
+    /// Discards all received events.
     pub fn clear(&self) {
         while self.events.try_recv().is_ok() {}
     }
 }
 
 impl PeerFleet {
-    /// Starts the edges; they connect when something is sent.
+    /// Starts the edges, which connect at their first message.
     pub fn try_start(peers: usize) -> Option<Self> {
         let reports = ReportOptions::new("").with_writer(io::sink());
         let (reports, _) = ReportEdge::try_start(reports).ok()?;
@@ -72,8 +72,8 @@
         Some(PeerFleet { measured, peers })
     }
 
-    /// Sends one message in each direction between the measured edge and each peer, one pair after
-    /// the other with a pause in between, so that nothing is batched.
+    /// Sends one message in each direction between the measured edge and each peer. The pause
+    /// between two pairs prevents batching.
     pub fn exchange(&self, message: &PeerMessage, pause: Duration) {
         for peer in &self.peers {
             self.measured.send(peer, message.clone());
@@ -84,7 +84,7 @@
         self.measured.clear();
     }
 
-    /// Waits until the measured edge and its peers have had so many messages confirmed.
+    /// Waits up to 5 s until the measured edge and its peers have had this many messages confirmed.
     pub fn wait_delivered(&self, of_measured: u64, of_peers: u64) {
         let until = Instant::now() + Duration::from_secs(5);
         let is_done = || {
@@ -96,18 +96,18 @@
         }
     }
 
-    /// Counts of the measured edge.
+    /// Returns the counts of the measured edge.
     pub fn counts(&self) -> PeersCounts {
         self.measured.handle.counts()
     }
 
-    /// Writes of all peers, each about a packet to the measured edge.
+    /// Returns the number of writes of all peers; a write is about one packet to the measured edge.
     pub fn peer_writes(&self) -> u64 {
         let writes = self.peers.iter().map(|peer| peer.handle.counts().writes);
         writes.sum()
     }
 
-    /// Processor time of the measured edge in seconds.
+    /// Returns the processor time of the measured edge, in seconds.
     pub fn cpu_s(&self) -> f64 {
         let costs = read_thread_cpu(std::process::id());
         costs.get(MEASURED_THREAD).copied().unwrap_or_default()
--- a/crates/beechsaddle-lab/src/measure/peer_heartbeats.rs
+++ b/crates/beechsaddle-lab/src/measure/peer_heartbeats.rs
@@ -1,4 +1,4 @@
-//! The `peer_heartbeats` module provides what heartbeats cost a router over real connections.
+//! The `peer_heartbeats` module provides the measured cost of heartbeats over real connections.
 
 use std::time::Duration;
 
@@ -7,23 +7,23 @@
 use super::peer_samples::heartbeat;
 use crate::key_values::KeyValues;
 
-/// How many peers the measured router has; 23 are the others of a domain at the planned size.
+/// Numbers of peers of the measured router; 23 is the number in a domain of the planned size.
 const PEER_COUNTS: [usize; 5] = [2, 6, 12, 18, 23];
 
-/// How many news of targets each heartbeat carries.
+/// Numbers of target updates in each heartbeat.
 const TARGET_COUNTS: [usize; 4] = [0, 4, 8, 16];
 
-/// How often each router sends a heartbeat to each peer.
+/// Heartbeats that each router sends to each peer.
 const ROUNDS: usize = 20;
 
-/// The pause between two pairs of heartbeats: long enough that none waits for another.
+/// The pause between two pairs of heartbeats, long enough that no heartbeat queues behind another.
 const PAUSE: Duration = Duration::from_millis(1);
 
-/// Bytes of TCP and IP headers of a packet, with timestamps.
+/// Bytes of the TCP (with timestamps) and IP headers of a packet.
 const HEADER_BYTES: f64 = 52.0;
 
-/// What one heartbeat in each direction cost the measured router.
-struct BeatCost {
+/// The cost of one heartbeat in each direction to the measured router.
+struct HeartbeatCost {
     peers: usize,
     out_bytes: f64,
     in_bytes: f64,
@@ -31,11 +31,11 @@
     cpu_us: f64,
 }
 
-/// Measures heartbeats against peers and against the news in them.
+/// Measures the cost of heartbeats by the number of peers and of target updates in them.
 pub fn run() -> Vec<String> {
     let mut lines = Vec::new();
     for targets in TARGET_COUNTS {
-        let costs: Vec<BeatCost> = PEER_COUNTS
+        let costs: Vec<HeartbeatCost> = PEER_COUNTS
             .into_iter()
             .filter_map(|peers| measure(peers, targets))
             .collect();
@@ -45,7 +45,7 @@
     lines
 }
 
-fn measure(peers: usize, targets: usize) -> Option<BeatCost> {
+fn measure(peers: usize, targets: usize) -> Option<HeartbeatCost> {
     let fleet = PeerFleet::try_start(peers)?;
     let message = heartbeat(1, targets, false, 0);
     fleet.exchange(&message, PAUSE);
@@ -57,19 +57,19 @@
     let total = (peers * (ROUNDS + 1)) as u64;
     fleet.wait_delivered(total, total);
     let after = fleet.counts();
-    let beats = (peers * ROUNDS) as f64;
+    let heartbeats = (peers * ROUNDS) as f64;
     let packets = after.writes - before.writes + fleet.peer_writes() - writes;
-    Some(BeatCost {
+    Some(HeartbeatCost {
         peers,
-        out_bytes: (after.bytes_out - before.bytes_out) as f64 / beats,
-        in_bytes: (after.bytes_in - before.bytes_in) as f64 / beats,
-        packets: packets as f64 / beats,
-        cpu_us: (fleet.cpu_s() - cpu) * 1e6 / beats,
+        out_bytes: (after.bytes_out - before.bytes_out) as f64 / heartbeats,
+        in_bytes: (after.bytes_in - before.bytes_in) as f64 / heartbeats,
+        packets: packets as f64 / heartbeats,
+        cpu_us: (fleet.cpu_s() - cpu) * 1e6 / heartbeats,
     })
 }
 
-impl BeatCost {
-    // With heartbeats once a second: what the router sends and receives in a second.
+impl HeartbeatCost {
+    // Bytes sent and received by the router per second, at one heartbeat per second.
     fn bytes_a_second(&self) -> f64 {
         (self.out_bytes + self.in_bytes) * self.peers as f64
     }
@@ -97,8 +97,8 @@
     }
 }
 
-fn fits(costs: &[BeatCost], targets: usize) -> Vec<String> {
-    let fit = |unit: &str, value: fn(&BeatCost) -> f64| {
+fn fits(costs: &[HeartbeatCost], targets: usize) -> Vec<String> {
+    let fit = |unit: &str, value: fn(&HeartbeatCost) -> f64| {
         let points: Vec<(f64, f64)> = costs
             .iter()
             .map(|cost| (cost.peers as f64, value(cost)))
@@ -106,9 +106,9 @@
         SlopeFit::of(&points).map(|fit| fit.pairs(unit, "peer").with("targets", targets))
     };
     [
-        fit("bytes_a_second", BeatCost::bytes_a_second),
-        fit("wire_bytes_a_second", BeatCost::wire_bytes_a_second),
-        fit("core_permille", BeatCost::cpu_permille),
+        fit("bytes_a_second", HeartbeatCost::bytes_a_second),
+        fit("wire_bytes_a_second", HeartbeatCost::wire_bytes_a_second),
+        fit("core_permille", HeartbeatCost::cpu_permille),
     ]
     .into_iter()
     .flatten()
--- a/crates/beechsaddle-lab/src/measure/peer_memory.rs
+++ b/crates/beechsaddle-lab/src/measure/peer_memory.rs
@@ -1,4 +1,4 @@
-//! The `peer_memory` module provides how much memory a connection between routers takes.
+//! The `peer_memory` module provides the measured memory of connections between routers.
 
 use std::time::Duration;
 
@@ -7,22 +7,22 @@
 use super::{ProcessCost, SlopeFit};
 use crate::key_values::KeyValues;
 
-/// How many peers each fleet has, one fleet after the other.
+/// The sizes of the measured fleets, in peers.
 const PEER_COUNTS: [usize; 5] = [8, 16, 24, 32, 40];
 
-/// How many heartbeats go over each connection before the memory is read.
+/// Heartbeats over each connection before memory is read.
 const ROUNDS: u64 = 3;
 
-/// Measures resident memory against connections. All fleets are kept until the end, so that no
-/// memory of an earlier one is used again.
+/// Measures resident memory by number of connections. All fleets stay alive until the end, so that
+/// no fleet reuses memory that an earlier one freed.
 pub fn run() -> Vec<String> {
-    let mut kept = Vec::new();
-    // What is set up once for all connections must not count for the first fleet.
-    let _ = measure(PEER_COUNTS[0], &mut kept);
+    let mut retained = Vec::new();
+    // A first run is discarded, so that one-time allocations are not counted for the first fleet.
+    let _ = measure(PEER_COUNTS[0], &mut retained);
     let mut lines = Vec::new();
     let mut points = Vec::new();
     for peers in PEER_COUNTS {
-        let Some(point) = measure(peers, &mut kept) else {
+        let Some(point) = measure(peers, &mut retained) else {
             continue;
         };
         points.push((point.ends as f64, point.kib));
@@ -33,7 +33,7 @@
     lines
 }
 
-/// What the connections of one fleet took.
+/// The memory of the connections of one fleet.
 struct MemoryPoint {
     ends: usize,
     kib: f64,
@@ -50,9 +50,9 @@
     }
 }
 
-fn measure(peers: usize, kept: &mut Vec<PeerFleet>) -> Option<MemoryPoint> {
+fn measure(peers: usize, retained: &mut Vec<PeerFleet>) -> Option<MemoryPoint> {
     let fleet = PeerFleet::try_start(peers)?;
-    // The threads are up before the first reading.
+    // All threads have started before the first reading.
     std::thread::sleep(Duration::from_millis(200));
     let idle = ProcessCost::read_own()?;
     let message = heartbeat(1, 4, false, 0);
@@ -61,9 +61,10 @@
     }
     fleet.wait_delivered(ROUNDS * peers as u64, ROUNDS * peers as u64);
     let connected = ProcessCost::read_own()?;
-    kept.push(fleet);
+    retained.push(fleet);
     Some(MemoryPoint {
-        // Both ends of a connection are in this process, and each pair has two connections.
+        // Both ends of a connection are in this process, and each pair of routers has two
+        // connections.
         ends: peers * 4,
         kib: connected.rss_kib.saturating_sub(idle.rss_kib) as f64,
     })
--- a/crates/beechsaddle-lab/src/measure/peer_round_trip.rs
+++ b/crates/beechsaddle-lab/src/measure/peer_round_trip.rs
@@ -1,4 +1,5 @@
-//! The `peer_round_trip` module provides latency and rate of admit and settle between two routers.
+//! The `peer_round_trip` module provides the latency and throughput of admit and settle messages
+//! between two routers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,16 +14,16 @@
 use super::peer_samples::{admit_request, settle_request};
 use crate::key_values::KeyValues;
 
-/// How many round trips are measured one after the other.
+/// Number of sequential round trips.
 const ROUND_TRIPS: u64 = 2_000;
 
-/// How many calls are under way at once when the rate is measured.
+/// Numbers of concurrent requests at which throughput is measured.
 const WINDOWS: [u64; 4] = [1, 8, 64, 512];
 
-/// How long the rate is measured for each window.
+/// The measuring time of each window.
 const RATE_SPAN: Duration = Duration::from_secs(1);
 
-/// Measures round trips one at a time and many at once.
+/// Measures sequential and concurrent round trips.
 pub fn run() -> Vec<String> {
     let Some(fleet) = PeerFleet::try_start(1) else {
         return Vec::new();
@@ -35,34 +36,38 @@
     let Some(holder) = peers.pop() else {
         return Vec::new();
     };
-    let place = Place::of(&holder);
-    let answering = answer_all(holder, Place::of(&measured), Arc::clone(&done));
-    let mut lines = vec![measure_latency(&measured, &place).to_string()];
-    let rates = WINDOWS.map(|window| measure_rate(&measured, &place, window).to_string());
+    let holder_address = EdgeAddress::of(&holder);
+    let responder = spawn_responder(holder, EdgeAddress::of(&measured), Arc::clone(&done));
+    let mut lines = vec![measure_latency(&measured, &holder_address).to_string()];
+    let rates = WINDOWS.map(|window| measure_rate(&measured, &holder_address, window).to_string());
     lines.extend(rates);
     done.store(true, Ordering::SeqCst);
-    let _ = answering.join();
+    let _ = responder.join();
     lines
 }
 
-/// Where an edge is.
+/// The router and address of an edge.
 #[derive(Clone)]
-struct Place {
+struct EdgeAddress {
     router: RouterIncarnation,
     address: String,
 }
 
-impl Place {
+impl EdgeAddress {
     fn of(edge: &FleetEdge) -> Self {
-        Place {
+        EdgeAddress {
             router: edge.me.clone(),
             address: edge.handle.local_address().to_string(),
         }
     }
 }
 
-// Stands in for the core of the holder: answers at once.
-fn answer_all(holder: FleetEdge, to: Place, done: Arc<AtomicBool>) -> thread::JoinHandle<()> {
+// Replaces the core of the holder: replies to every request at once.
+fn spawn_responder(
+    holder: FleetEdge,
+    to: EdgeAddress,
+    done: Arc<AtomicBool>,
+) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         while !done.load(Ordering::SeqCst) {
             let event = holder.events.recv_timeout(Duration::from_millis(20));
@@ -90,12 +95,12 @@
     }
 }
 
-fn send(edge: &FleetEdge, to: &Place, message: PeerMessage) {
+fn send(edge: &FleetEdge, to: &EdgeAddress, message: PeerMessage) {
     edge.handle
         .send(to.router.clone(), to.address.clone(), message);
 }
 
-fn measure_latency(edge: &FleetEdge, holder: &Place) -> KeyValues {
+fn measure_latency(edge: &FleetEdge, holder: &EdgeAddress) -> KeyValues {
     let mut spans = Histogram::<u64>::new(3).ok();
     let before = edge.handle.counts();
     for number in 0..ROUND_TRIPS {
@@ -129,9 +134,9 @@
         .with_float("packets_out_a_call", each(after.writes - before.writes))
 }
 
-// Keeps so many requests without an answer, for a while. A message that was lost would shrink the
-// window; the counts would show it.
-fn measure_rate(edge: &FleetEdge, holder: &Place, window: u64) -> KeyValues {
+// Keeps `window` requests outstanding. A lost message would shrink the window, which the count of
+// lost messages shows.
+fn measure_rate(edge: &FleetEdge, holder: &EdgeAddress, window: u64) -> KeyValues {
     let cpu = thread_cpu();
     let before = edge.handle.counts();
     let start = Instant::now();
@@ -152,7 +157,7 @@
     let span_s = start.elapsed().as_secs_f64();
     let cpu_s = thread_cpu() - cpu;
     let after = edge.handle.counts();
-    // The edge sends a request and receives an answer for each.
+    // Each round trip is one request sent and one reply received.
     let messages = (answered * 2) as f64;
     KeyValues::new()
         .with("part", "rate")
--- a/crates/beechsaddle-lab/src/measure/peer_samples.rs
+++ b/crates/beechsaddle-lab/src/measure/peer_samples.rs
@@ -1,4 +1,5 @@
-//! The `peer_samples` module provides messages between routers as a fleet sends them.
+//! The `peer_samples` module provides sample messages between routers, with realistic names and
+//! values.
 
 use beechsaddle_core::catalogue::{EntryId, EntryKind};
 use beechsaddle_core::members::HostState;
@@ -10,12 +11,12 @@
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::target::{EngineRole, EngineState, LoadReport};
 
-/// A name as long as those of the deployments that this is built for.
+/// Returns a host name of the length that is usual in large deployments.
 pub fn host_name(number: usize) -> String {
     format!("graz-nord-entry-{number:03}")
 }
 
-/// A call id.
+/// Returns the id of a call.
 pub fn call_id(number: u64) -> CallId {
     CallId {
         router: RouterIncarnation::new(host_name(1).as_str(), 1_700_000_000_000),
@@ -23,7 +24,7 @@
     }
 }
 
-/// A heartbeat with news of targets, each with its load, and with its engine's state if wanted.
+/// Returns a heartbeat with target updates, each with a load report and optionally an engine state.
 pub fn heartbeat(sequence: u64, targets: usize, engines: bool, limits: usize) -> PeerMessage {
     PeerMessage::Heartbeat(PeerHeartbeat {
         domain: "graz-nord".into(),
@@ -36,14 +37,14 @@
             dedup_shards: 64,
         }),
         targets: (0..targets)
-            .map(|item| target_news(item, engines))
+            .map(|item| target_update(item, engines))
             .collect(),
         limits: (0..limits).map(limit_use).collect(),
         routers: Vec::new(),
     })
 }
 
-fn target_news(number: usize, engines: bool) -> TargetUpdate {
+fn target_update(number: usize, engines: bool) -> TargetUpdate {
     TargetUpdate {
         target: format!("graz-nord-pool-{number:04}").as_str().into(),
         epoch: 3,
@@ -76,7 +77,7 @@
     }
 }
 
-/// An idempotency key that a caller chose.
+/// Returns an idempotency key as callers choose it.
 pub fn request_key(number: u64) -> RequestKey {
     RequestKey {
         workspace: "workspace-00017".into(),
@@ -87,7 +88,7 @@
     }
 }
 
-/// Asks a holder to reserve.
+/// Returns a reservation request to the holder of a budget.
 pub fn admit_request(number: u64) -> PeerMessage {
     PeerMessage::AdmitRequest(AdmitRequest {
         call: call_id(number),
@@ -97,7 +98,7 @@
     })
 }
 
-/// Tells a holder the usage of a call.
+/// Returns a report of a call's usage to the holder of its budget.
 pub fn settle_request(number: u64) -> SettleRequest {
     SettleRequest {
         call: call_id(number),
@@ -111,7 +112,8 @@
     }
 }
 
-/// The messages of a call whose budget another router holds, and of one that may not be repeated.
+/// Returns the messages of a call whose budget another router holds, and those of a non-repeatable
+/// call.
 pub fn call_messages(number: u64) -> Vec<(&'static str, PeerMessage)> {
     let call = call_id(number);
     vec![
--- a/crates/beechsaddle-lab/src/measure/process_cost.rs
+++ b/crates/beechsaddle-lab/src/measure/process_cost.rs
@@ -1,25 +1,26 @@
-//! The `process_cost` module provides what a process has used so far, as the kernel tells it.
+//! The `process_cost` module provides the resource usage of a process as reported by the kernel.
 
 use std::fs;
 
-/// Clock ticks a second in `/proc/<pid>/stat`; 100 on every Linux architecture in use.
+/// Clock ticks per second in `/proc/<pid>/stat`, 100 on all common Linux architectures.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// The fields of `/proc/<pid>/stat` after the name in parentheses, from the state on.
+/// Field indexes in `/proc/<pid>/stat`, counted from the state, which follows the name in
+/// parentheses.
 const UTIME_FIELD: usize = 11;
 const STIME_FIELD: usize = 12;
 
-/// What a process has used.
+/// The processor time and memory of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProcessCost {
-    /// Seconds of processor time, user and system.
+    /// User and system processor time in seconds.
     pub cpu_s: f64,
     /// Resident memory in kibibytes.
     pub rss_kib: u64,
 }
 
 impl ProcessCost {
-    /// Reads a process; `None` when it is gone.
+    /// Reads the usage of a process; `None` if it has ended.
     pub fn read(pid: u32) -> Option<Self> {
         let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
         let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
@@ -29,18 +30,18 @@
         })
     }
 
-    /// Reads this process.
+    /// Reads the usage of the current process.
     pub fn read_own() -> Option<Self> {
         ProcessCost::read(std::process::id())
     }
 
-    /// The processor time used since an earlier reading, in seconds.
+    /// Returns the processor time used since an earlier reading, in seconds.
     pub fn cpu_since(&self, earlier: ProcessCost) -> f64 {
         self.cpu_s - earlier.cpu_s
     }
 }
 
-// The name may hold blanks and parentheses, so that fields are counted from the last parenthesis.
+// The name may contain blanks and parentheses, so fields are counted from the last parenthesis.
 fn read_cpu(stat: &str) -> Option<f64> {
     let (_, rest) = stat.rsplit_once(')')?;
     let fields: Vec<&str> = rest.split_whitespace().collect();
--- a/crates/beechsaddle-lab/src/measure/retries.rs
+++ b/crates/beechsaddle-lab/src/measure/retries.rs
@@ -6,16 +6,16 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Shares of attempts that fail, in percent.
+/// The measured failure rates of attempts, in percent.
 const FAILING_PERCENT: [u32; 5] = [0, 1, 10, 50, 100];
 
-/// How many calls there are, one every ten milliseconds.
+/// Number of calls, one every ten milliseconds.
 const CALLS: u64 = 60_000;
 
-/// How often a plain policy retries each call.
-const PLAIN_RETRIES: u32 = 3;
+/// Retries of each call by the fixed-count policy.
+const FIXED_RETRIES: u32 = 3;
 
-/// What came of the calls under one policy.
+/// The results of one policy.
 #[derive(Clone, Copy, Debug, Default)]
 struct RetryFigures {
     attempts: u64,
@@ -33,14 +33,14 @@
     }
 }
 
-/// Runs the retry budget and a plain policy at each share.
+/// Runs the retry budget and a policy with a fixed number of retries at each failure rate.
 pub fn run(seed: u64) -> Vec<String> {
     let mut lines = Vec::new();
     for failing_percent in FAILING_PERCENT {
         let budget = run_budget(seed, failing_percent);
         lines.push(budget.line("budget", failing_percent));
-        let plain = run_plain(seed, failing_percent);
-        lines.push(plain.line("plain_x3", failing_percent));
+        let fixed = run_fixed(seed, failing_percent);
+        lines.push(fixed.line("plain_x3", failing_percent));
     }
     lines
 }
@@ -52,7 +52,7 @@
     for call in 0..CALLS {
         let now = ClockTime::from_millis(call * 10);
         policy.requested(now);
-        let mut facts = FailedAttempt {
+        let mut attempt = FailedAttempt {
             failure: AttemptFailure::ServerError,
             repeatable: true,
             first_byte_sent: false,
@@ -67,20 +67,20 @@
                 figures.answered += 1;
                 break;
             }
-            if policy.decide(now, &facts) != RetryDecision::Retry {
+            if policy.decide(now, &attempt) != RetryDecision::Retry {
                 break;
             }
-            facts.attempts += 1;
+            attempt.attempts += 1;
         }
     }
     figures
 }
 
-fn run_plain(seed: u64, failing_percent: u32) -> RetryFigures {
+fn run_fixed(seed: u64, failing_percent: u32) -> RetryFigures {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut figures = RetryFigures::default();
     for _ in 0..CALLS {
-        for _ in 0..=PLAIN_RETRIES {
+        for _ in 0..=FIXED_RETRIES {
             figures.attempts += 1;
             if random.random_range(0..100) >= failing_percent {
                 figures.answered += 1;
--- a/crates/beechsaddle-lab/src/measure/routing/call_mix.rs
+++ b/crates/beechsaddle-lab/src/measure/routing/call_mix.rs
@@ -1,5 +1,5 @@
-//! The `call_mix` module provides calls as workspaces make them: conversations that grow behind
-//! shared instructions.
+//! The `call_mix` module provides the workload: growing conversations that share the instructions
+//! of their workspace as a prefix.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -8,10 +8,10 @@
 use super::routing_call::RoutingCall;
 use super::trial_setup::TrialSetup;
 
-/// The mean pause between two turns of a conversation, in milliseconds.
+/// The mean pause between two turns of a conversation, in milliseconds, beyond the minimum of 2 s.
 const PAUSE_MS: f64 = 8_000.0;
 
-/// Draws the calls of a trial.
+/// Generates the calls of a run.
 #[derive(Debug)]
 pub struct CallMix {
     random: ChaCha8Rng,
@@ -21,7 +21,7 @@
 }
 
 impl CallMix {
-    /// A mix; equal seeds give equal calls.
+    /// Creates a generator; equal seeds give equal calls.
     pub fn new(setup: &TrialSetup) -> Self {
         CallMix {
             random: ChaCha8Rng::seed_from_u64(setup.seed),
@@ -31,29 +31,29 @@
         }
     }
 
-    /// The calls of `span_ms` milliseconds in the order of arrival, `rate` a second once the
-    /// conversations have built up.
+    /// Returns the calls of `span_ms` milliseconds in order of arrival, at `rate` calls per second
+    /// once the number of conversations is steady.
     pub fn draw(&mut self, span_ms: f64, rate: f64) -> Vec<RoutingCall> {
         let instructions: Vec<Vec<u64>> = (0..self.workspaces)
             .map(|_| {
                 let count = self.random.random_range(4..=20);
-                self.blocks(count)
+                self.new_blocks(count)
             })
             .collect();
         let mut calls = Vec::new();
         let mut now_ms = 0.0;
-        // A conversation has three and a half turns in the mean.
+        // A conversation has 3.5 turns on average.
         let begin_rate = rate / 3.5;
         while now_ms < span_ms {
             now_ms += self.exponential(1_000.0 / begin_rate);
-            let workspace = self.workspace();
-            self.converse(now_ms, span_ms, instructions[workspace].clone(), &mut calls);
+            let workspace = self.draw_workspace();
+            self.add_conversation(now_ms, span_ms, instructions[workspace].clone(), &mut calls);
         }
         calls.sort_by(|left, right| left.arrives_ms.total_cmp(&right.arrives_ms));
         calls
     }
 
-    fn converse(
+    fn add_conversation(
         &mut self,
         begin_ms: f64,
         span_ms: f64,
@@ -64,7 +64,7 @@
         let mut now_ms = begin_ms;
         for _ in 0..turns {
             let message = self.random.random_range(1..=12);
-            prefix.extend(self.blocks(message));
+            prefix.extend(self.new_blocks(message));
             let output_tokens = (self.exponential(120.0) as u64).clamp(4, 1_000);
             if now_ms < span_ms {
                 calls.push(RoutingCall {
@@ -76,20 +76,20 @@
                     output_tokens,
                 });
             }
-            // The answer is part of the next prompt.
+            // The response is part of the next prompt.
             let answer = (output_tokens / BLOCK_TOKENS) as usize;
-            prefix.extend(self.blocks(answer));
+            prefix.extend(self.new_blocks(answer));
             now_ms += self.exponential(PAUSE_MS) + 2_000.0;
         }
     }
 
-    /// A few workspaces make most of the calls: half of them come from a seventh.
-    fn workspace(&mut self) -> usize {
+    /// Draws a workspace from a skewed distribution: a seventh of them makes half of the calls.
+    fn draw_workspace(&mut self) -> usize {
         let draw = self.exponential(self.workspaces as f64 / 5.0) as usize;
         draw.min(self.workspaces - 1)
     }
 
-    fn blocks(&mut self, count: usize) -> Vec<u64> {
+    fn new_blocks(&mut self, count: usize) -> Vec<u64> {
         (0..count)
             .map(|_| {
                 self.next_block += 1;
--- a/crates/beechsaddle-lab/src/measure/routing/engine_model.rs
+++ b/crates/beechsaddle-lab/src/measure/routing/engine_model.rs
@@ -1,4 +1,4 @@
-//! The `engine_model` module provides a model engine in model time: continuous batching with
+//! The `engine_model` module provides a simulated inference engine: continuous batching with
 //! chunked prefill and a prefix cache of limited size.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -7,28 +7,28 @@
 
 use super::routing_call::RoutingCall;
 
-/// The time of an iteration without any work, in milliseconds.
+/// The fixed time of an iteration, in milliseconds.
 const ITERATION_MS: f64 = 6.0;
 
-/// What each sequence in the batch adds to an iteration, in milliseconds.
+/// The additional time of an iteration per sequence in the batch, in milliseconds.
 const SEQUENCE_MS: f64 = 0.3;
 
-/// What each prompt token that is read adds to an iteration, in milliseconds.
+/// The additional time of an iteration per prefilled prompt token, in milliseconds.
 const PREFILL_TOKEN_MS: f64 = 0.1;
 
-/// How many prompt tokens an iteration reads at most.
+/// The most prompt tokens that one iteration prefills.
 const CHUNK_TOKENS: u64 = 512;
 
-/// How many sequences the batch holds at most.
+/// The largest batch size in sequences.
 const BATCH_MAX: usize = 32;
 
-/// How many blocks the prefix cache holds.
+/// The capacity of the prefix cache in blocks.
 const CACHE_BLOCKS: usize = 1_200;
 
-/// How many tokens a block has.
+/// The number of tokens in a block.
 pub const BLOCK_TOKENS: u64 = 64;
 
-/// A call at an engine.
+/// A call that is queued or running at an engine.
 #[derive(Debug)]
 struct EngineCall {
     number: usize,
@@ -37,16 +37,16 @@
     prefix: Vec<u64>,
 }
 
-/// What an iteration brought about.
+/// The calls that an iteration advanced to their first or last token.
 #[derive(Debug, Default)]
 pub struct IterationOutcome {
-    /// Calls whose first token came.
+    /// Calls whose first token was generated.
     pub first_tokens: Vec<usize>,
     /// Calls that ended.
     pub ended: Vec<usize>,
 }
 
-/// One engine.
+/// A simulated engine.
 #[derive(Debug)]
 pub struct EngineModel {
     slowdown: f64,
@@ -61,12 +61,12 @@
     pub busy: bool,
     /// Prompt tokens that were found in the cache.
     pub cached_tokens: u64,
-    /// Prompt tokens in all.
+    /// All prompt tokens.
     pub prompt_tokens: u64,
 }
 
 impl EngineModel {
-    /// An empty engine that takes `slowdown` times as long for everything.
+    /// Creates an idle engine whose iterations take `slowdown` times as long.
     pub fn new(slowdown: f64) -> Self {
         EngineModel {
             slowdown,
@@ -83,12 +83,12 @@
         }
     }
 
-    /// Calls that run or wait.
+    /// Returns the number of running and waiting calls.
     pub fn calls(&self) -> usize {
         self.batch.len() + self.waiting.len()
     }
 
-    /// A call arrives.
+    /// Queues a call.
     pub fn arrive(&mut self, number: usize, call: &RoutingCall) {
         self.waiting.push_back(EngineCall {
             number,
@@ -98,7 +98,7 @@
         });
     }
 
-    /// Begins an iteration and tells how long it takes; `None` when there is nothing to do.
+    /// Begins an iteration and returns its duration in milliseconds; `None` if there are no calls.
     pub fn begin(&mut self, now_ms: f64) -> Option<f64> {
         while self.batch.len() < BATCH_MAX {
             let Some(mut call) = self.waiting.pop_front() else {
@@ -106,7 +106,7 @@
             };
             let cached = self.lookup(&call.prefix) * BLOCK_TOKENS;
             let prompt = call.unread_tokens;
-            // The last token is always read: its logits give the first output.
+            // The last prompt token is always prefilled: its logits give the first output token.
             call.unread_tokens = prompt.saturating_sub(cached).max(1);
             self.cached_tokens += prompt - call.unread_tokens;
             self.prompt_tokens += prompt;
@@ -120,11 +120,11 @@
         let read = unread.min(CHUNK_TOKENS) as f64;
         let span_ms =
             ITERATION_MS + SEQUENCE_MS * self.batch.len() as f64 + PREFILL_TOKEN_MS * read;
-        self.note_report(now_ms);
+        self.record_report(now_ms);
         Some(span_ms * self.slowdown)
     }
 
-    /// Ends an iteration.
+    /// Ends an iteration and returns what it generated.
     pub fn finish(&mut self, now_ms: f64) -> IterationOutcome {
         let mut outcome = IterationOutcome::default();
         let mut chunk = CHUNK_TOKENS;
@@ -151,11 +151,11 @@
         }
         self.batch
             .retain(|call| call.unread_tokens > 0 || call.output_left > 0);
-        self.note_report(now_ms);
+        self.record_report(now_ms);
         outcome
     }
 
-    /// The load as it was `lag_ms` ago.
+    /// Returns the load as it was `lag_ms` ago.
     pub fn report(&mut self, now_ms: f64, lag_ms: f64) -> LoadReport {
         while self
             .reports
@@ -170,9 +170,9 @@
         }
     }
 
-    /// Cache events after `after` that are older than `lag_ms`; `is_lost` leaves out what the asker
-    /// has not seen, so that a gap follows.
-    pub fn cache_news(&self, now_ms: f64, lag_ms: f64, after: u64, is_lost: bool) -> CacheUpdate {
+    /// Returns the cache events from `after` on that are older than `lag_ms`. With `is_lost` all of
+    /// them are missing, so that the router sees a gap.
+    pub fn cache_update(&self, now_ms: f64, lag_ms: f64, after: u64, is_lost: bool) -> CacheUpdate {
         let known = self
             .events
             .partition_point(|(happened, _, _)| *happened <= now_ms - lag_ms);
@@ -182,7 +182,7 @@
         for (_, hash, is_added) in &self.events[first as usize..known] {
             states.insert(*hash, *is_added);
         }
-        let pick = |wanted: bool| {
+        let select = |wanted: bool| {
             states
                 .iter()
                 .filter(|(_, is_added)| **is_added == wanted)
@@ -192,12 +192,12 @@
         CacheUpdate {
             first,
             next,
-            added: pick(true),
-            removed: pick(false),
+            added: select(true),
+            removed: select(false),
         }
     }
 
-    fn note_report(&mut self, now_ms: f64) {
+    fn record_report(&mut self, now_ms: f64) {
         let report = LoadReport {
             running: self.batch.len() as u32,
             waiting: self.waiting.len() as u32,
@@ -206,7 +206,7 @@
         self.reports.push_back((now_ms, report));
     }
 
-    /// How many leading blocks are cached.
+    /// Returns the number of leading blocks that are cached, and marks these as used.
     fn lookup(&mut self, prefix: &[u64]) -> u64 {
         let depth = prefix
             .iter()
@@ -219,7 +219,7 @@
     }
 
     fn store(&mut self, now_ms: f64, prefix: &[u64]) {
-        // The deepest block first, so that a prompt's end is evicted before its beginning.
+        // Deepest block first, so that the end of a prompt is evicted before its beginning.
         for hash in prefix.iter().rev() {
             if self.touch(*hash) {
                 self.events.push((now_ms, *hash, true));
@@ -234,7 +234,7 @@
         }
     }
 
-    /// Marks a block as used; tells whether it is new.
+    /// Marks a block as used, and returns whether it is new.
     fn touch(&mut self, hash: u64) -> bool {
         self.uses += 1;
         let before = self.cache.insert(hash, self.uses);
--- a/crates/beechsaddle-lab/src/measure/routing/mod.rs
+++ b/crates/beechsaddle-lab/src/measure/routing/mod.rs
@@ -1,6 +1,6 @@
-//! The `routing` module provides the experiment that compares ways to choose a target.
+//! The `routing` module provides the experiment that compares policies for choosing a target.
 //!
-//! Engines and callers are a small model in model time; the routers are the real target tables.
+//! Engines and callers are simulated; the target tables of the routers are the real ones.
 
 mod call_mix;
 mod engine_model;
@@ -15,13 +15,13 @@
 pub use trial_figures::TrialFigures;
 pub use trial_setup::TrialSetup;
 
-/// How many seeds each condition is run with.
+/// The number of seeds per set of parameters.
 const SEEDS: u64 = 3;
 
-/// Ages of load reports and cache events, in milliseconds.
+/// The measured delays of load reports and cache events, in milliseconds.
 const LAGS_MS: [f64; 3] = [0.0, 1_000.0, 5_000.0];
 
-/// How many times slower one of the engines is.
+/// The measured slowdown factors of one engine.
 const SLOWDOWNS: [f64; 2] = [1.0, 4.0];
 
 const POLICIES: [(&str, ChoicePolicy); 3] = [
@@ -30,7 +30,7 @@
     ("random", ChoicePolicy::Random),
 ];
 
-/// Runs every policy under every condition.
+/// Runs every policy with every set of parameters.
 pub fn run(seed: u64) -> Vec<String> {
     let mut lines = Vec::new();
     for slowdown in SLOWDOWNS {
@@ -56,7 +56,7 @@
     lines
 }
 
-/// Runs one condition with several seeds.
+/// Runs one set of parameters with several seeds.
 pub fn run_seeds(setup: TrialSetup, options: &TargetOptions) -> TrialFigures {
     let mut figures = TrialFigures::default();
     for offset in 0..SEEDS {
--- a/crates/beechsaddle-lab/src/measure/routing/routing_call.rs
+++ b/crates/beechsaddle-lab/src/measure/routing/routing_call.rs
@@ -1,24 +1,24 @@
-//! The `routing_call` module provides the calls of the model.
+//! The `routing_call` module provides the calls of the simulation.
 
 use beechsaddle_core::targets::CallWork;
 
-/// One call.
+/// A simulated call.
 #[derive(Clone, Debug)]
 pub struct RoutingCall {
-    /// When it arrives, in milliseconds.
+    /// The time of arrival, in milliseconds.
     pub arrives_ms: f64,
-    /// Which router the balancer gives it to.
+    /// The index of the router that receives the call.
     pub router: usize,
-    /// Hashes of its prompt's leading blocks.
+    /// The hashes of the leading prompt blocks.
     pub prefix: Vec<u64>,
-    /// Tokens of its prompt.
+    /// The number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens that it generates.
+    /// The number of generated tokens.
     pub output_tokens: u64,
 }
 
 impl RoutingCall {
-    /// Its expected work as a router sees it.
+    /// Returns the work that a router expects of the call, which is exact here.
     pub fn work(&self) -> CallWork {
         CallWork {
             prompt_tokens: self.prompt_tokens,
--- a/crates/beechsaddle-lab/src/measure/routing/routing_trial.rs
+++ b/crates/beechsaddle-lab/src/measure/routing/routing_trial.rs
@@ -1,4 +1,4 @@
-//! The `routing_trial` module provides one run of routers and engines in model time.
+//! The `routing_trial` module provides a simulation of routers and engines.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -31,10 +31,10 @@
 const DOMAIN: &str = "split-hala";
 const MODEL: &str = "m";
 
-/// The share of probes whose cache events are lost.
+/// The share of probes that lose the cache events.
 const GAP_SHARE: f64 = 0.05;
 
-/// Something that happens.
+/// A scheduled event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum TrialEvent {
     Arrival(usize),
@@ -42,7 +42,7 @@
     Tick(u64),
 }
 
-/// One run.
+/// One run of the simulation. Event times are in microseconds.
 #[derive(Debug)]
 pub struct RoutingTrial {
     setup: TrialSetup,
@@ -50,14 +50,14 @@
     engines: Vec<EngineModel>,
     targets: Vec<TargetName>,
     calls: Vec<RoutingCall>,
-    placed: Vec<usize>,
-    agenda: BinaryHeap<Reverse<(u64, TrialEvent)>>,
+    assigned: Vec<usize>,
+    queue: BinaryHeap<Reverse<(u64, TrialEvent)>>,
     random: ChaCha8Rng,
     figures: TrialFigures,
 }
 
 impl RoutingTrial {
-    /// Prepares a run.
+    /// Prepares a run with all arrivals scheduled.
     pub fn new(setup: TrialSetup, options: &TargetOptions) -> Self {
         let calls = CallMix::new(&setup).draw(setup.span_ms, setup.rate);
         let engines = (0..setup.engines)
@@ -71,9 +71,9 @@
             routers,
             engines,
             targets,
-            placed: vec![0; calls.len()],
+            assigned: vec![0; calls.len()],
             calls,
-            agenda: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             random: ChaCha8Rng::seed_from_u64(setup.seed ^ 0xCAFE),
             figures: TrialFigures::default(),
             setup,
@@ -86,7 +86,7 @@
         trial
     }
 
-    /// The target table and the members of one router.
+    /// Returns the target table and the member table of one router.
     pub fn router(
         number: usize,
         setup: &TrialSetup,
@@ -95,10 +95,10 @@
         router_of(number, setup, options)
     }
 
-    /// Runs until the last call ended.
+    /// Runs until all calls have ended and returns the results.
     pub fn run(mut self) -> TrialFigures {
         let mut left = self.calls.len();
-        while let Some(Reverse((now, event))) = self.agenda.pop() {
+        while let Some(Reverse((now, event))) = self.queue.pop() {
             match event {
                 TrialEvent::Arrival(number) => self.arrive(now, number),
                 TrialEvent::Iteration(engine) => left -= self.iterate(now, engine),
@@ -118,7 +118,7 @@
     }
 
     fn schedule(&mut self, when: u64, event: TrialEvent) {
-        self.agenda.push(Reverse((when, event)));
+        self.queue.push(Reverse((when, event)));
     }
 
     fn arrive(&mut self, now: u64, number: usize) {
@@ -142,7 +142,7 @@
             .iter()
             .position(|target| *target == chosen.target)
             .unwrap_or(0);
-        self.placed[number] = engine;
+        self.assigned[number] = engine;
         self.engines[engine].arrive(number, call);
         if !self.engines[engine].busy {
             self.begin(now, engine);
@@ -205,19 +205,20 @@
                 .iter()
                 .map(|engine| engine.calls() as f64)
                 .collect();
-            self.figures.note_spread(&calls);
+            self.figures.record_spread(&calls);
         }
     }
 
     fn probe(&mut self, now: u64, router: usize, target: &TargetName, cache_after: Option<u64>) {
-        let Some(place) = self.targets.iter().position(|name| name == target) else {
+        let Some(index) = self.targets.iter().position(|name| name == target) else {
             return;
         };
         let lag_ms = self.setup.lag_ms;
         let is_lost = self.random.random_bool(GAP_SHARE);
-        let engine = &mut self.engines[place];
+        let engine = &mut self.engines[index];
         let load = engine.report(millis(now), lag_ms);
-        let cache = cache_after.map(|after| engine.cache_news(millis(now), lag_ms, after, is_lost));
+        let cache =
+            cache_after.map(|after| engine.cache_update(millis(now), lag_ms, after, is_lost));
         let event = TargetEvent::Probed {
             target: target.clone(),
             outcome: ProbeOutcome::Healthy {
@@ -236,14 +237,14 @@
     }
 
     fn exchange(&mut self, now: u64) {
-        let told: Vec<_> = self
+        let sent: Vec<_> = self
             .routers
             .iter_mut()
             .map(|(table, _)| table.take_updates(clock(now)))
             .collect();
         for (to, (table, _)) in self.routers.iter_mut().enumerate() {
-            for (from, news) in told.iter().enumerate().filter(|(from, _)| *from != to) {
-                table.on_updates(clock(now), &router(from), news);
+            for (from, updates) in sent.iter().enumerate().filter(|(from, _)| *from != to) {
+                table.on_updates(clock(now), &router(from), updates);
             }
         }
     }
--- a/crates/beechsaddle-lab/src/measure/routing/trial_figures.rs
+++ b/crates/beechsaddle-lab/src/measure/routing/trial_figures.rs
@@ -1,6 +1,6 @@
-//! The `trial_figures` module provides what was measured in one or more runs.
+//! The `trial_figures` module provides the results of one or more runs.
 
-/// Figures of runs under the same conditions.
+/// Results of runs with the same parameters.
 #[derive(Clone, Debug, Default)]
 pub struct TrialFigures {
     /// Times to the first token, in milliseconds.
@@ -9,17 +9,17 @@
     pub whole_ms: Vec<f64>,
     /// Prompt tokens found in a cache.
     pub cached_tokens: u64,
-    /// Prompt tokens in all.
+    /// All prompt tokens.
     pub prompt_tokens: u64,
-    /// Calls for which no target was found.
+    /// Calls for which no target was available.
     pub unplaced: u64,
     spread_sum: f64,
     spread_count: u64,
 }
 
 impl TrialFigures {
-    /// Notes how evenly calls lie over the engines at one moment.
-    pub fn note_spread(&mut self, calls: &[f64]) {
+    /// Records the coefficient of variation of the calls per engine at one moment.
+    pub fn record_spread(&mut self, calls: &[f64]) {
         let count = calls.len() as f64;
         let mean = calls.iter().sum::<f64>() / count;
         if mean <= 0.0 {
@@ -30,7 +30,7 @@
         self.spread_count += 1;
     }
 
-    /// Adds the figures of another run.
+    /// Adds the results of another run.
     pub fn add(&mut self, other: TrialFigures) {
         self.first_ms.extend(other.first_ms);
         self.whole_ms.extend(other.whole_ms);
@@ -41,17 +41,17 @@
         self.spread_count += other.spread_count;
     }
 
-    /// The share of prompt tokens that were found in a cache.
+    /// Returns the share of prompt tokens that were found in a cache.
     pub fn hit_share(&self) -> f64 {
         self.cached_tokens as f64 / self.prompt_tokens.max(1) as f64
     }
 
-    /// The mean coefficient of variation of calls over engines.
+    /// Returns the mean coefficient of variation of calls per engine.
     pub fn spread(&self) -> f64 {
         self.spread_sum / self.spread_count.max(1) as f64
     }
 
-    /// The figures as key=value pairs.
+    /// Returns the results as key=value pairs; sorts the latencies.
     pub fn line(&mut self) -> String {
         self.first_ms.sort_by(f64::total_cmp);
         self.whole_ms.sort_by(f64::total_cmp);
@@ -73,9 +73,9 @@
     }
 }
 
-/// The value below which a share of the sorted values lies.
+/// Returns the value below which a share of the sorted values lies.
 pub fn quantile(sorted: &[f64], share: f64) -> f64 {
-    let place = (sorted.len() as f64 * share) as usize;
+    let index = (sorted.len() as f64 * share) as usize;
     let last = sorted.len().saturating_sub(1);
-    sorted.get(place.min(last)).copied().unwrap_or(0.0)
+    sorted.get(index.min(last)).copied().unwrap_or(0.0)
 }
--- a/crates/beechsaddle-lab/src/measure/routing/trial_setup.rs
+++ b/crates/beechsaddle-lab/src/measure/routing/trial_setup.rs
@@ -1,25 +1,25 @@
-//! The `trial_setup` module provides the conditions of one run.
+//! The `trial_setup` module provides the parameters of one run.
 
-/// The conditions of one run.
+/// The parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct TrialSetup {
-    /// Seeds calls and choices.
+    /// The seed of calls and of random choices.
     pub seed: u64,
-    /// How many routers share the calls.
+    /// The number of routers that share the calls.
     pub routers: usize,
-    /// How many engines there are.
+    /// The number of engines.
     pub engines: usize,
-    /// How many workspaces call, each with its own instructions.
+    /// The number of workspaces, each with its own prompt instructions.
     pub workspaces: usize,
-    /// For how long calls arrive, in milliseconds.
+    /// The time during which calls arrive, in milliseconds.
     pub span_ms: f64,
-    /// Calls that arrive before this time are not counted, in milliseconds.
+    /// The warm-up time, whose calls are not counted, in milliseconds.
     pub warm_ms: f64,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
-    /// How old load reports and cache events are, in milliseconds.
+    /// The delay of load reports and cache events, in milliseconds.
     pub lag_ms: f64,
-    /// How many times slower the first engine is.
+    /// The slowdown factor of the first engine.
     pub slowdown: f64,
 }
 
--- a/crates/beechsaddle-lab/src/measure/run_async.rs
+++ b/crates/beechsaddle-lab/src/measure/run_async.rs
@@ -1,10 +1,10 @@
-//! The `run_async` module provides running an experiment that needs the network.
+//! The `run_async` module provides the execution of asynchronous experiments.
 
 use std::future::Future;
 
 use crate::key_values::KeyValues;
 
-/// Runs an experiment; one that fails gives a line that says why in place of its figures.
+/// Runs an experiment and returns its lines, or a single line with the error if it fails.
 pub fn run_async(experiment: impl Future<Output = eyre::Result<Vec<KeyValues>>>) -> Vec<String> {
     let outcome = tokio::runtime::Runtime::new()
         .map_err(eyre::Report::from)
--- a/crates/beechsaddle-lab/src/measure/sample_objects.rs
+++ b/crates/beechsaddle-lab/src/measure/sample_objects.rs
@@ -1,5 +1,5 @@
-//! The `sample_objects` module provides objects of the platform in any size, with names as long as
-//! those of a large fleet.
+//! The `sample_objects` module provides sample platform objects of any size, with names of the
+//! length that is usual in a large fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,13 +17,13 @@
 use beechsaddle_core::names::{CallId, KeyOrigin, RequestKey, RouterIncarnation};
 use beechsaddle_core::objects::PlatformObject;
 
-/// A start number of a router, as long as a time in milliseconds.
+/// The epoch of a router, of the size of a Unix time in milliseconds.
 const EPOCH: u64 = 1_800_000_000_000;
 
-/// Domains that draw on one budget, each with a grant of its own.
+/// The number of domains that use one budget, each with its own grant.
 const GRANTS_PER_BUDGET: u64 = 2;
 
-/// A ledger shard of `count` budgets.
+/// Returns a ledger shard of `count` budgets.
 pub fn ledger_of(count: u64) -> PlatformObject {
     let budgets = (0..count)
         .map(|number| (budget_name(number).as_str().into(), account(number)))
@@ -34,7 +34,7 @@
     })
 }
 
-/// A ledger shard of one budget that was billed under `count` caller-made keys.
+/// Returns a ledger shard of one budget with `count` billed idempotency keys of callers.
 pub fn keys_of(count: u64) -> PlatformObject {
     let mut account = account(0);
     account.keys = (0..count).map(billed_key).collect();
@@ -45,7 +45,7 @@
     })
 }
 
-/// A journal segment of `count` bills and as many marks.
+/// Returns a journal segment of `count` bills and as many high-water marks.
 pub fn segment_of(count: u64) -> PlatformObject {
     PlatformObject::Segment(JournalSegment {
         write_id: write_id(),
@@ -57,7 +57,7 @@
     })
 }
 
-/// A dedup shard of `count` records.
+/// Returns a dedup shard of `count` records.
 pub fn dedup_of(count: u64) -> PlatformObject {
     PlatformObject::Dedup(DedupShard {
         write_id: write_id(),
@@ -65,7 +65,7 @@
     })
 }
 
-/// A part of the catalogue with `count` workspaces.
+/// Returns a part of the catalogue with `count` workspaces.
 pub fn base_of(count: u64) -> PlatformObject {
     PlatformObject::Base(CatalogueBase {
         revision: 1_000_000,
@@ -75,14 +75,14 @@
     })
 }
 
-/// A list of `count` hosts.
+/// Returns a list of `count` hosts.
 pub fn hosts_of(count: u64) -> PlatformObject {
     PlatformObject::Hosts(HostList {
         hosts: (0..count).map(host).collect(),
     })
 }
 
-/// A workspace of two keys, a default budget and the models of one service.
+/// Returns a workspace with two keys, a default budget and the models of one service.
 pub fn workspace(number: u64) -> CatalogueEntry {
     CatalogueEntry::Workspace(WorkspaceEntry {
         header: EntryHeader {
@@ -178,7 +178,7 @@
     }
 }
 
-/// A caller's key.
+/// Returns an idempotency key as callers choose it.
 pub fn key_of(number: u64) -> RequestKey {
     RequestKey {
         workspace: workspace_name(number).as_str().into(),
@@ -189,7 +189,7 @@
     }
 }
 
-/// A call.
+/// Returns the id of a call.
 pub fn call_of(number: u64) -> CallId {
     CallId {
         router: router_of(number),
@@ -197,7 +197,7 @@
     }
 }
 
-/// One of the routers.
+/// Returns one of 450 routers.
 pub fn router_of(number: u64) -> RouterIncarnation {
     RouterIncarnation::new(format!("entry-{:03}", number % 450).as_str(), EPOCH)
 }
@@ -206,7 +206,7 @@
     format!("budget-{number:06}")
 }
 
-/// The name of a workspace.
+/// Returns the name of one of 25,000 workspaces.
 pub fn workspace_name(number: u64) -> String {
     format!("workspace-{:05}", number % 25_000)
 }
--- a/crates/beechsaddle-lab/src/measure/slope_fit.rs
+++ b/crates/beechsaddle-lab/src/measure/slope_fit.rs
@@ -1,30 +1,30 @@
-//! The `slope_fit` module provides a straight line through measured points.
+//! The `slope_fit` module provides linear regression of measured points.
 
 use crate::key_values::KeyValues;
 
 /// A line `y = intercept + slope * x`, fitted by least squares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlopeFit {
-    /// How much `y` grows for one more `x`.
+    /// The increase of `y` per unit of `x`.
     pub slope: f64,
     /// The value at `x = 0`.
     pub intercept: f64,
-    /// The share of the variance that the line explains, 1 when all points lie on it.
+    /// The coefficient of determination, 1 if all points lie on the line.
     pub r_squared: f64,
 }
 
 impl SlopeFit {
-    /// Fits points; `None` unless there are two different `x`.
+    /// Fits a line; `None` unless the points have two different `x`.
     pub fn of(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
         let mean_y = points.iter().map(|point| point.1).sum::<f64>() / count;
-        let spread = |left: fn(&(f64, f64), f64, f64) -> f64| -> f64 {
+        let sum_of = |left: fn(&(f64, f64), f64, f64) -> f64| -> f64 {
             points.iter().map(|point| left(point, mean_x, mean_y)).sum()
         };
-        let xx = spread(|point, x, _| (point.0 - x).powi(2));
-        let xy = spread(|point, x, y| (point.0 - x) * (point.1 - y));
-        let yy = spread(|point, _, y| (point.1 - y).powi(2));
+        let xx = sum_of(|point, x, _| (point.0 - x).powi(2));
+        let xy = sum_of(|point, x, y| (point.0 - x) * (point.1 - y));
+        let yy = sum_of(|point, _, y| (point.1 - y).powi(2));
         if points.len() < 2 || xx == 0.0 {
             return None;
         }
@@ -36,12 +36,12 @@
         })
     }
 
-    /// The value of the line at `x`.
+    /// Returns the value of the line at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 
-    /// The fit as pairs, with names that say what was fitted.
+    /// Returns the fit as key=value pairs, named by the units of `y` and `x`.
     pub fn pairs(&self, unit: &str, per: &str) -> KeyValues {
         KeyValues::new()
             .with("fit", format_args!("{unit}_per_{per}"))
--- a/crates/beechsaddle-lab/src/measure/slopes.rs
+++ b/crates/beechsaddle-lab/src/measure/slopes.rs
@@ -1,6 +1,7 @@
-//! The `slopes` module provides how the costs of idle and busy fleets grow with their sizes.
+//! The `slopes` module provides the experiments on how the cost of idle and busy fleets grows with
+//! size.
 //!
-//! Each point is a fleet of processes of its own, or one fleet at a further size.
+//! Each point is measured on a new fleet of processes, or on the same fleet after it has grown.
 
 use std::time::Duration;
 
@@ -15,16 +16,16 @@
     ArrivalPlan, CallMix, CallSender, CallerPatience, CallerSettings, PlanOptions, run_plan,
 };
 
-/// How long a fleet runs before it is watched: members have met and targets are probed.
+/// The time before measuring, in which routers discover each other and probe the targets.
 const WARM_UP: Duration = Duration::from_secs(4);
 
-/// How long a fleet is watched at each point.
+/// The measuring time of each point.
 const WATCH: Duration = Duration::from_secs(10);
 
-/// The router that streams go through.
+/// The router that serves the streams.
 const ROUTER: &str = "domain-0-1";
 
-/// Idle fleets of one domain against their routers.
+/// Measures idle fleets of one domain by number of routers.
 pub fn routers(_seed: u64) -> Vec<String> {
     run_async(async {
         let sizes = [2, 4, 8, 12].map(|routers| FleetSize {
@@ -36,7 +37,7 @@
     })
 }
 
-/// Idle fleets against their domains of two routers each.
+/// Measures idle fleets by number of domains, each with two routers.
 pub fn domains(_seed: u64) -> Vec<String> {
     run_async(async {
         let sizes = [1, 2, 4, 8].map(|domains| FleetSize {
@@ -48,7 +49,7 @@
     })
 }
 
-/// Idle fleets against the targets of their one domain.
+/// Measures idle fleets of one domain by number of targets.
 pub fn targets(_seed: u64) -> Vec<String> {
     run_async(async {
         let sizes = [1, 8, 16, 32].map(|engines| FleetSize {
@@ -60,7 +61,7 @@
     })
 }
 
-/// An idle fleet that holds grants, against the budgets that were just used.
+/// Measures idle fleets that hold grants, by number of recently used budgets.
 pub fn budgets(seed: u64) -> Vec<String> {
     run_async(async move {
         let mut points = Vec::new();
@@ -72,7 +73,7 @@
             let deployment = size.deployment();
             let fleet = deployment.start().await?;
             let callers = deployment.callers(&fleet);
-            // At four calls for each on average, hardly a workspace goes without one.
+            // With four calls per workspace on average, nearly every workspace makes at least one.
             let calls = f64::from(workspaces) * 4.0;
             send(&callers, seed, calls / 8.0, Duration::from_secs(8)).await?;
             sleep(WARM_UP).await;
@@ -85,7 +86,7 @@
     })
 }
 
-/// A busy fleet against its plain calls a second, each of which is billed.
+/// Measures a busy fleet by plain calls per second, each of which is billed.
 pub fn bills(seed: u64) -> Vec<String> {
     run_async(async move {
         let deployment = FleetSize::default().deployment();
@@ -104,10 +105,10 @@
     })
 }
 
-/// A fleet whose streams wait for tokens, against the streams that one router has open.
+/// Measures a fleet with idle streams by the number of open streams of one router.
 pub fn streams(_seed: u64) -> Vec<String> {
     run_async(async {
-        // An engine that sends a token a minute: the streams are open and nothing flows.
+        // The engine sends one token a minute, so that the streams are open but idle.
         let deployment = FleetSize::default()
             .deployment()
             .with_engine("--between-tokens-ms", 60_000)
@@ -122,7 +123,8 @@
             streams.open_until(count).await?;
             sleep(WARM_UP).await;
             let mut cost = FleetCost::over(&fleet, WATCH).await?;
-            // Only this router has the streams; its peer holds or witnesses their budget.
+            // Memory is read from the router that serves the streams; its peer only holds their
+            // budget or stores usage copies as backup.
             let own = ProcessCost::read(pid).unwrap_or_default();
             cost.rss_kib = own.rss_kib as f64;
             points.push(CostPoint {
@@ -161,11 +163,11 @@
         max_tokens: 1,
         progress: false,
     });
-    let patience = CallerPatience {
+    let retry_policy = CallerPatience {
         retries: 0,
         try_timeout: Duration::from_secs(30),
     };
-    let sender = CallSender::new(callers.clone().into(), patience);
+    let sender = CallSender::new(callers.clone().into(), retry_policy);
     let outcome = run_plan(plan, sender).await?;
     let refused = outcome.tally.refusals() + outcome.tally.lost;
     eyre::ensure!(refused == 0, "{refused} calls were refused or lost");
--- a/crates/beechsaddle-lab/src/measure/small_fleet.rs
+++ b/crates/beechsaddle-lab/src/measure/small_fleet.rs
@@ -1,31 +1,30 @@
-//! The `small_fleet` module provides the fleets that experiments start.
+//! The `small_fleet` module provides the deployments that experiments start.
 
 use beechsaddle_core::catalogue::{EntryClass, ServiceKind};
 
 use crate::load::{Deployment, FleetDomain, FleetFile, FleetService, FleetWorkspace};
 
-/// The service of the engines.
+/// The name of the engine service.
 pub const ENGINES: &str = "engines";
 
-/// The plain service.
+/// The name of the plain service.
 pub const PLAIN: &str = "plain";
 
-/// The model of the engines.
+/// The model that all engines serve.
 pub const MODEL: &str = "small";
 
-/// What each budget holds, in tokens; no experiment on costs comes near it.
+/// The tokens of each budget, far more than any cost experiment uses.
 const AMPLE_BUDGET: u64 = 1_000_000_000;
 
-/// How many parts a fleet has.
+/// The numbers of domains, routers, targets and workspaces of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Domains.
     pub domains: u32,
     /// Routers in each domain.
     pub routers: u32,
-    /// Engines in all.
+    /// Engines in all domains together.
     pub engines: u32,
-    /// Plain targets in all.
+    /// Plain targets in all domains together.
     pub plain: u32,
     /// Workspaces, each with a budget.
     pub workspaces: u32,
@@ -45,7 +44,7 @@
 }
 
 impl FleetSize {
-    /// A deployment of this size.
+    /// Returns a deployment of this size.
     pub fn deployment(self) -> Deployment {
         let domains = 0..self.domains;
         let workspaces = 0..self.workspaces;
--- a/crates/beechsaddle-lab/src/measure/spread.rs
+++ b/crates/beechsaddle-lab/src/measure/spread.rs
@@ -1,4 +1,5 @@
-//! The `spread` module provides how long changes take until every router acts on them.
+//! The `spread` module provides the experiment on the time until a change is in effect at every
+//! router.
 
 use std::time::{Duration, Instant};
 
@@ -13,20 +14,20 @@
 use crate::fleet::{FleetCaller, LabFleet};
 use crate::key_values::KeyValues;
 
-/// The sizes of the fleets: two domains with this many routers each.
+/// The sizes of the fleets: routers in each of two domains.
 const ROUTERS: [u32; 4] = [1, 2, 4, 6];
 
-/// How often each change is made.
+/// Number of changes of each kind per fleet.
 const ROUNDS: u32 = 5;
 
-/// How often routers are asked; also how exact the times are.
+/// The polling interval, which is also the resolution of the measured times.
 const PAUSE: Duration = Duration::from_millis(10);
 
-/// When a change that is still not in force is given up.
-const PATIENCE: Duration = Duration::from_secs(15);
+/// The time after which a change that is not in effect fails the experiment.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Applies edits and announces leaves in fleets of several sizes, and asks all routers until each
-/// has the change in force.
+/// Applies edits and announces leaves in fleets of several sizes, and polls all routers until the
+/// change is in effect at each.
 pub fn run(_seed: u64) -> Vec<String> {
     run_async(measure())
 }
@@ -51,7 +52,7 @@
     Ok(lines)
 }
 
-async fn measure_fleet(routers: u32) -> eyre::Result<(SpreadTimes, SpreadTimes)> {
+async fn measure_fleet(routers: u32) -> eyre::Result<(PropagationTimes, PropagationTimes)> {
     let size = FleetSize {
         domains: 2,
         routers,
@@ -61,8 +62,8 @@
     let deployment = size.deployment();
     let mut fleet = deployment.start().await?;
     let catalogue = deployment.plan(std::env::current_exe()?).catalogue;
-    let mut edits = SpreadTimes::default();
-    let mut leaves = SpreadTimes::default();
+    let mut edits = PropagationTimes::default();
+    let mut leaves = PropagationTimes::default();
     for round in 0..ROUNDS {
         let before = lowest_revision(&fleet).await?;
         let edit = format!("{catalogue}\n{}", extra_workspace(round));
@@ -70,7 +71,7 @@
         edits
             .wait(&fleet, |status| status.catalogue_revision > before)
             .await?;
-        // A leave is final, so that another target leaves in each round.
+        // A leave cannot be undone, so each round uses another target.
         let target = format!("engines-{}", round + 1);
         fleet.set_target_state(&target, HostState::Leaving).await?;
         leaves
@@ -80,31 +81,35 @@
     Ok((edits, leaves))
 }
 
-/// How long changes took, in milliseconds.
+/// The times until changes were in effect, in milliseconds.
 #[derive(Clone, Debug, Default)]
-struct SpreadTimes {
+struct PropagationTimes {
     all: Vec<f64>,
     longest: f64,
 }
 
-impl SpreadTimes {
-    // Routers are asked one after another, so that a time is at most one pause and one round of
-    // questions too long, never too short.
+impl PropagationTimes {
+    // Routers are polled one after another, so that a measured time is never too short, and too
+    // long by at most one pause and one polling round.
     async fn wait(
         &mut self,
         fleet: &LabFleet,
-        in_force: impl Fn(&RouterStatus) -> bool,
+        is_in_effect: impl Fn(&RouterStatus) -> bool,
     ) -> eyre::Result<()> {
         let start = Instant::now();
         let caller = FleetCaller::new();
         let mut waiting: Vec<String> = admin_addresses(fleet);
         while !waiting.is_empty() {
-            eyre::ensure!(start.elapsed() < PATIENCE, "{} routers wait", waiting.len());
+            eyre::ensure!(
+                start.elapsed() < CHANGE_TIMEOUT,
+                "change not in effect at {} routers within {CHANGE_TIMEOUT:?}",
+                waiting.len()
+            );
             let mut left = Vec::new();
             for address in waiting {
                 let status: RouterStatus = caller.get(&address, "/admin/status").await?;
-                if in_force(&status) {
-                    self.note(start.elapsed());
+                if is_in_effect(&status) {
+                    self.record(start.elapsed());
                 } else {
                     left.push(address);
                 }
@@ -115,7 +120,7 @@
         Ok(())
     }
 
-    fn note(&mut self, time: Duration) {
+    fn record(&mut self, time: Duration) {
         let millis = time.as_secs_f64() * 1_000.0;
         self.all.push(millis);
         self.longest = self.longest.max(millis);
@@ -143,7 +148,8 @@
     lowest.ok_or_else(|| eyre!("the fleet has no routers"))
 }
 
-// Routers of another domain need not know the target at all; to them it is as good as leaving.
+// A router of another domain may not know the target, which counts as leaving: it sends no calls
+// there.
 fn is_leaving(status: &RouterStatus, name: &str) -> bool {
     let target = status
         .targets
--- a/crates/beechsaddle-lab/src/measure/thread_cost.rs
+++ b/crates/beechsaddle-lab/src/measure/thread_cost.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 use std::fs;
 
-/// Processor time of threads in seconds, by thread name; threads of one name are added up.
+/// Returns the processor time of a process by thread name, in seconds; threads of the same name are
+/// summed up.
 pub fn read_thread_cpu(pid: u32) -> BTreeMap<String, f64> {
     let mut costs = BTreeMap::new();
     let Ok(tasks) = fs::read_dir(format!("/proc/{pid}/task")) else {
--- a/crates/beechsaddle-lab/src/stand_in/command.rs
+++ b/crates/beechsaddle-lab/src/stand_in/command.rs
@@ -11,7 +11,7 @@
 use super::platform::{PlatformOptions, PlatformServer};
 use crate::fleet::{end_with_parent, with_parent_argument};
 
-/// Describes the `stand-in` subcommand.
+/// Returns the arguments of the `stand-in` subcommand.
 pub fn command() -> Command {
     Command::new("stand-in")
         .about("Serves in place of the platform, an engine or a plain service")
@@ -26,7 +26,7 @@
         .subcommand(plain_command())
 }
 
-/// Runs the `stand-in` subcommand.
+/// Runs the `stand-in` subcommand until the process ends.
 pub fn run(matches: &ArgMatches) -> eyre::Result<()> {
     if let Some((_, matches)) = matches.subcommand() {
         end_with_parent(matches);
@@ -35,8 +35,8 @@
         Some(("platform", matches)) => run_platform(matches),
         Some(("engine", matches)) => run_engine(matches),
         Some(("plain", matches)) => run_plain(matches),
-        Some((name, _)) => eyre::bail!("stand-in {name} has no code"),
-        None => eyre::bail!("a stand-in is needed, see --help"),
+        Some((name, _)) => eyre::bail!("stand-in {name} is not implemented"),
+        None => eyre::bail!("no stand-in given; see --help"),
     }
 }
 
--- a/crates/beechsaddle-lab/src/stand_in/engine/chat_answer.rs
+++ b/crates/beechsaddle-lab/src/stand_in/engine/chat_completion.rs
@@ -1,27 +1,27 @@
-//! The `chat_answer` module provides chat answers in the form that OpenAI's clients read.
+//! The `chat_completion` module provides chat completions in OpenAI's format.
 
 use serde_json::{Value, json};
 
 use super::chat_proof::ChatProof;
 
-/// An answer that is planned before its first token.
+/// A chat completion, determined in full before its first token is sent.
 #[derive(Clone, Debug)]
-pub(super) struct ChatAnswer {
+pub(super) struct ChatCompletion {
     pub(super) proof: ChatProof,
     pub(super) model: String,
     pub(super) input_tokens: u64,
     pub(super) cached_tokens: u64,
-    /// Whether the caller's limit cut it.
+    /// Whether the caller's token limit truncated it.
     pub(super) limited: bool,
-    /// Whether a stream of it ends with the usage.
+    /// Whether its stream ends with the usage.
     pub(super) wants_usage: bool,
 }
 
-impl ChatAnswer {
-    /// The whole answer in one.
-    pub(super) fn whole(&self) -> Value {
+impl ChatCompletion {
+    /// Returns the body of a buffered response.
+    pub(super) fn buffered(&self) -> Value {
         let content: String = (0..self.proof.tokens)
-            .map(|place| self.proof.token(place))
+            .map(|position| self.proof.token(position))
             .collect();
         let message = json!({"role": "assistant", "content": content});
         let mut body = self.envelope("chat.completion");
@@ -32,14 +32,15 @@
         body
     }
 
-    /// The events of a stream that carry the token at a place, and the end with the last one.
-    pub(super) fn events(&self, place: u64) -> String {
-        let mut delta = json!({"content": self.proof.token(place)});
-        if place == 0 {
+    /// Returns the stream events for the token at a position; the last token is followed by the end
+    /// of the stream.
+    pub(super) fn events(&self, position: u64) -> String {
+        let mut delta = json!({"content": self.proof.token(position)});
+        if position == 0 {
             delta["role"] = json!("assistant");
         }
         let mut events = event(&self.chunk(delta, Value::Null));
-        if place + 1 == self.proof.tokens {
+        if position + 1 == self.proof.tokens {
             events.push_str(&self.last_events());
         }
         events
--- a/crates/beechsaddle-lab/src/stand_in/engine/chat_request.rs
+++ b/crates/beechsaddle-lab/src/stand_in/engine/chat_request.rs
@@ -1,11 +1,11 @@
-//! The `chat_request` module provides chat requests as engines read them.
+//! The `chat_request` module provides parsed chat requests.
 
 use serde::Deserialize;
 use serde_json::Value;
 
 use beechsaddle_core::hash::stable_hash;
 
-/// The parts of a chat request that the stand-in uses.
+/// The fields of a chat request that the stand-in uses.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct ChatRequest {
     pub(super) model: String,
@@ -32,11 +32,11 @@
     include_usage: bool,
 }
 
-/// How many bytes of a prompt make a token; real tokenizers come near it for English text.
+/// Bytes of a prompt per token; close to real tokenizers for English text.
 const BYTES_A_TOKEN: usize = 4;
 
 impl ChatRequest {
-    /// All messages as the text that prefix hashes cover.
+    /// Returns all messages as the text that prefix hashes cover.
     pub(super) fn prompt(&self) -> String {
         let mut prompt = String::new();
         for message in &self.messages {
@@ -51,29 +51,30 @@
         prompt
     }
 
-    /// Whether the stream ends with the usage.
+    /// Whether the client asked for the usage at the end of the stream.
     pub(super) fn wants_usage(&self) -> bool {
         self.stream_options.include_usage
     }
 
-    /// How many tokens the prompt has.
+    /// Returns the number of prompt tokens.
     pub(super) fn input_tokens(&self) -> u64 {
         self.prompt().len().div_ceil(BYTES_A_TOKEN).max(1) as u64
     }
 
-    /// How many tokens the answer has when nothing limits it: what the prompt asks for by a word
-    /// `tokens=N`, or else a length around the mean that depends on the prompt.
-    pub(super) fn wanted_tokens(&self, seed: u64, mean: u64) -> u64 {
+    /// Returns the length of the response in tokens without the caller's limit: N of a word
+    /// `tokens=N` in the prompt, or else a length around the mean that depends on the prompt and
+    /// the seed.
+    pub(super) fn unlimited_tokens(&self, seed: u64, mean: u64) -> u64 {
         let prompt = self.prompt();
-        let asked = prompt
+        let requested = prompt
             .split_whitespace()
             .filter_map(|word| word.strip_prefix("tokens="))
             .find_map(|number| number.parse().ok());
         let span = (2 * mean).saturating_sub(1).max(1);
-        asked.unwrap_or_else(|| 1 + (stable_hash(&prompt) ^ seed) % span)
+        requested.unwrap_or_else(|| 1 + (stable_hash(&prompt) ^ seed) % span)
     }
 
-    /// The caller's limit of tokens.
+    /// Returns the caller's limit of output tokens.
     pub(super) fn limit(&self) -> u64 {
         self.max_completion_tokens
             .or(self.max_tokens)
--- a/crates/beechsaddle-lab/src/stand_in/engine/engine_front.rs
+++ b/crates/beechsaddle-lab/src/stand_in/engine/engine_handler.rs
@@ -1,4 +1,4 @@
-//! The `engine_front` module provides the HTTP interface of the engine stand-in.
+//! The `engine_handler` module provides the HTTP interface of the engine stand-in.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,62 +8,62 @@
 use http_body_util::{BodyExt, StreamBody};
 
 use super::chat_request::ChatRequest;
-use super::engine_service::{BatchPlace, EngineService};
+use super::engine_service::{BatchSlot, EngineService};
 use super::token_stream::TokenStream;
-use crate::stand_in::answers;
+use crate::stand_in::responses;
 use crate::stand_in::run_ledger::RunGuard;
-use crate::stand_in::stand_in_server::{StandInAnswer, StandInService};
+use crate::stand_in::stand_in_server::{StandInResponse, StandInService};
 use crate::stand_in::target_control::header_text;
 use crate::stand_in::target_faults::{TargetFault, TargetScope};
 
-/// What a call that is not this one is called.
+/// The attempt id in responses to [`TargetFault::WrongAttempt`].
 const OTHER_ATTEMPT: &str = "other@1#1.0";
 
-/// Answers requests for a shared engine.
-pub(super) struct EngineFront {
+/// Handles HTTP requests to an engine.
+pub(super) struct EngineHandler {
     service: Arc<EngineService>,
 }
 
-impl EngineFront {
+impl EngineHandler {
     pub(super) fn new(service: Arc<EngineService>) -> Self {
-        EngineFront { service }
+        EngineHandler { service }
     }
 
-    async fn answer_chat(&self, request: Request<Bytes>) -> StandInAnswer {
+    async fn answer_chat(&self, request: Request<Bytes>) -> StandInResponse {
         let fault = self.service.control.faults.pick(TargetScope::Calls);
         if let Some(TargetFault::Busy { retry_after_ms }) = fault {
-            return answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, retry_after_ms);
+            return responses::retry_after(StatusCode::SERVICE_UNAVAILABLE, retry_after_ms);
         }
         let chat: ChatRequest = match serde_json::from_slice(request.body()) {
             Ok(chat) => chat,
-            Err(error) => return answers::bytes(StatusCode::BAD_REQUEST, error.to_string()),
+            Err(error) => return responses::bytes(StatusCode::BAD_REQUEST, error.to_string()),
         };
         if !self.service.has_model(&chat.model) {
-            return answers::bytes(StatusCode::NOT_FOUND, "the model is not loaded here");
+            return responses::bytes(StatusCode::NOT_FOUND, "the model is not loaded here");
         }
         let headers = request.headers();
         let mut attempt = header_text(headers, "beechsaddle-attempt");
         let key = header_text(headers, "idempotency-key");
-        let place = BatchPlace::enter(Arc::clone(&self.service)).await;
+        let slot = BatchSlot::enter(Arc::clone(&self.service)).await;
         let guard = self.service.control.ledger.start(&attempt, &key);
         match fault {
             Some(TargetFault::Hang) => std::future::pending().await,
-            Some(TargetFault::CloseAfterRead) => return StandInAnswer::Close,
+            Some(TargetFault::CloseAfterRead) => return StandInResponse::Close,
             Some(TargetFault::ServerError) => {
-                return answers::status(StatusCode::INTERNAL_SERVER_ERROR);
+                return responses::status(StatusCode::INTERNAL_SERVER_ERROR);
             }
-            Some(TargetFault::Garbage) => return answers::garbage(),
+            Some(TargetFault::Garbage) => return responses::malformed(),
             Some(TargetFault::Late { ms }) => {
                 tokio::time::sleep(Duration::from_millis(ms)).await;
             }
             Some(TargetFault::WrongAttempt) => OTHER_ATTEMPT.clone_into(&mut attempt),
             Some(TargetFault::DieAfter { .. } | TargetFault::Busy { .. }) | None => {}
         }
-        let dies_after = match fault {
+        let abort_after = match fault {
             Some(TargetFault::DieAfter { tokens }) => Some(tokens),
             Some(_) | None => None,
         };
-        self.generate(&chat, attempt, place, guard, dies_after)
+        self.generate(&chat, attempt, slot, guard, abort_after)
             .await
     }
 
@@ -71,33 +71,33 @@
         &self,
         chat: &ChatRequest,
         attempt: String,
-        place: BatchPlace,
+        slot: BatchSlot,
         guard: RunGuard,
-        dies_after: Option<u64>,
-    ) -> StandInAnswer {
-        let (answer, first_token) = self.service.plan(chat, attempt.clone());
+        abort_after: Option<u64>,
+    ) -> StandInResponse {
+        let (completion, first_token) = self.service.plan(chat, attempt.clone());
         tokio::time::sleep(first_token).await;
         let stream = TokenStream {
             service: Arc::clone(&self.service),
-            answer,
-            place,
+            completion,
+            slot,
             guard,
             sent: 0,
-            dies_after,
+            abort_after,
         };
-        let answer = if chat.stream {
+        let response = if chat.stream {
             streamed(stream)
         } else {
-            whole(stream).await
+            buffered(stream).await
         };
-        answers::with_attempt(answer, &attempt)
+        responses::with_attempt(response, &attempt)
     }
 }
 
-impl StandInService for EngineFront {
-    async fn answer(&self, request: Request<Bytes>) -> StandInAnswer {
-        if let Some(answer) = self.service.control.answer(&request) {
-            return answer;
+impl StandInService for EngineHandler {
+    async fn respond(&self, request: Request<Bytes>) -> StandInResponse {
+        if let Some(response) = self.service.control.respond(&request) {
+            return response;
         }
         match (request.method(), request.uri().path()) {
             (&Method::POST, "/v1/chat/completions") => self.answer_chat(request).await,
@@ -107,27 +107,27 @@
                 self.service.answer_cache_events(query)
             }
             (&Method::POST, "/orders") => self.service.answer_order(request.body()),
-            (&Method::GET, "/orders") => answers::json(StatusCode::OK, &self.service.orders()),
-            _ => answers::status(StatusCode::NOT_FOUND),
+            (&Method::GET, "/orders") => responses::json(StatusCode::OK, &self.service.orders()),
+            _ => responses::status(StatusCode::NOT_FOUND),
         }
     }
 }
 
-fn streamed(stream: TokenStream) -> StandInAnswer {
+fn streamed(stream: TokenStream) -> StandInResponse {
     let body = StreamBody::new(stream.into_frames()).boxed_unsync();
-    let mut response = answers::response(StatusCode::OK, body);
-    answers::set_header(&mut response, "content-type", "text/event-stream");
-    StandInAnswer::Reply(response)
+    let mut response = responses::response(StatusCode::OK, body);
+    responses::set_header(&mut response, "content-type", "text/event-stream");
+    StandInResponse::Reply(response)
 }
 
-async fn whole(stream: TokenStream) -> StandInAnswer {
-    let pauses = stream.answer.proof.tokens.saturating_sub(1) as u32;
-    let body = stream.answer.whole();
+async fn buffered(stream: TokenStream) -> StandInResponse {
+    let pauses = stream.completion.proof.tokens.saturating_sub(1) as u32;
+    let body = stream.completion.buffered();
     tokio::time::sleep(stream.service.token_time() * pauses).await;
-    if stream.dies_after.is_some() {
+    if stream.abort_after.is_some() {
         let half = body.to_string().split_off(1);
-        return answers::broken(vec![Bytes::from(half)]);
+        return responses::truncated(vec![Bytes::from(half)]);
     }
     stream.complete();
-    answers::json(StatusCode::OK, &body)
+    responses::json(StatusCode::OK, &body)
 }
--- a/crates/beechsaddle-lab/src/stand_in/engine/engine_options.rs
+++ b/crates/beechsaddle-lab/src/stand_in/engine/engine_options.rs
@@ -1,44 +1,44 @@
-//! The `engine_options` module provides how an engine stand-in is started.
+//! The `engine_options` module provides the options of an engine stand-in.
 
 use std::net::SocketAddr;
 
 use beechsaddle_core::names::ModelName;
 use beechsaddle_core::target::{EngineRole, EngineState};
 
-/// How an engine stand-in is started. Times are in milliseconds.
+/// Options of an engine stand-in. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// Where it listens.
+    /// The address to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// The seed of chances and of the lengths of answers.
+    /// The seed of the random draws and of response lengths.
     pub seed: u64,
-    /// What it serves at the start.
+    /// The initial state: model, version, adapters and role.
     pub state: EngineState,
-    /// Time to the first token, beside waiting and the prompt.
+    /// Time to the first token, without queueing and prompt processing.
     pub first_token_ms: u64,
-    /// Time for each block of the prompt that is not in the cache.
+    /// Time to process each prompt block that is not in the prefix cache.
     pub block_ms: u64,
-    /// Time between tokens when one request runs.
+    /// Time between tokens at a batch size of one.
     pub between_tokens_ms: u64,
-    /// How much longer that is for each further request that runs, in thousandths.
+    /// Increase of the time between tokens for each further running request, in thousandths.
     pub slowdown_permille: u64,
-    /// How many requests run at a time; more wait.
+    /// The largest batch size; further requests are queued.
     pub batch_max: usize,
-    /// The mean length of an answer, in tokens.
+    /// The mean response length in tokens.
     pub answer_tokens: u64,
-    /// How many prefix blocks the cache holds.
+    /// The capacity of the prefix cache in blocks.
     pub cache_blocks: usize,
-    /// How late cache events are published.
+    /// Delay before cache events are published.
     pub event_lag_ms: u64,
-    /// The share of reads of the events that find a gap, in thousandths.
+    /// The share of cache event reads that lose events, in thousandths.
     pub event_gap_permille: u32,
-    /// How old the load report is.
+    /// Age of the reported load.
     pub load_lag_ms: u64,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether orders with an outdated fencing number are rejected.
     pub checks_fence: bool,
-    /// How long an order takes to come into force.
+    /// Time until an accepted order takes effect.
     pub load_ms: u64,
-    /// The shortest time between two loads from the weight store.
+    /// The minimum time between two loads from the weight store.
     pub weight_gap_ms: u64,
 }
 
--- a/crates/beechsaddle-lab/src/stand_in/engine/engine_server.rs
+++ b/crates/beechsaddle-lab/src/stand_in/engine/engine_server.rs
@@ -3,16 +3,16 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::engine_front::EngineFront;
+use super::engine_handler::EngineHandler;
 use super::engine_options::EngineOptions;
 use super::engine_service::EngineService;
-use super::order_desk::EngineOrder;
+use super::order_manager::EngineOrder;
 use crate::stand_in::listen_gate::ListenGate;
 use crate::stand_in::run_ledger::RunReport;
 use crate::stand_in::stand_in_server::StandInServer;
 use crate::stand_in::target_faults::TargetFaults;
 
-/// A running engine stand-in; it stops when this is dropped.
+/// A running engine stand-in; dropping it stops the server.
 #[derive(Debug)]
 pub struct EngineServer {
     server: StandInServer,
@@ -20,42 +20,42 @@
 }
 
 impl EngineServer {
-    /// Starts one.
+    /// Starts a stand-in on a thread of its own.
     pub fn try_start(options: EngineOptions) -> eyre::Result<Self> {
         let gate = ListenGate::new();
         let listen = options.listen;
         let service = Arc::new(EngineService::new(options, gate.clone()));
-        let front = EngineFront::new(Arc::clone(&service));
-        let server = StandInServer::try_start(listen, gate, Arc::new(front))?;
+        let handler = EngineHandler::new(Arc::clone(&service));
+        let server = StandInServer::try_start(listen, gate, Arc::new(handler))?;
         Ok(EngineServer { server, service })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Replaces what is wrong at it.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: TargetFaults) {
         self.service.control.faults.set(faults);
     }
 
-    /// Announces that it leaves.
+    /// Reports the state `leaving` from now on.
     pub fn leave(&self) {
         self.service.control.leave();
     }
 
-    /// What ran so far.
+    /// Returns the requests executed since the start.
     pub fn ran(&self) -> RunReport {
         self.service.control.ledger.report()
     }
 
-    /// The orders taken so far.
+    /// Returns the accepted orders, oldest first.
     pub fn orders(&self) -> Vec<EngineOrder> {
         self.service.orders()
     }
 
-    /// Waits until the process ends.
+    /// Blocks until the process ends.
     pub fn join(self) {
         self.server.join();
     }
--- a/crates/beechsaddle-lab/src/stand_in/engine/engine_service.rs
+++ b/crates/beechsaddle-lab/src/stand_in/engine/engine_service.rs
@@ -1,4 +1,4 @@
-//! The `engine_service` module provides the answers of the engine stand-in.
+//! The `engine_service` module provides the state and behaviour of the engine stand-in.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,25 +11,25 @@
 use beechsaddle_core::hash::prefix_chain;
 use beechsaddle_core::target::LoadReport;
 
-use super::chat_answer::ChatAnswer;
+use super::chat_completion::ChatCompletion;
 use super::chat_proof::ChatProof;
 use super::chat_request::ChatRequest;
 use super::engine_options::EngineOptions;
 use super::load_history::LoadHistory;
-use super::order_desk::{EngineOrder, OrderAnswer, OrderDesk};
+use super::order_manager::{EngineOrder, OrderManager, OrderOutcome};
 use super::prefix_cache::PrefixCache;
-use crate::stand_in::answers;
-use crate::stand_in::chance_source::ChanceSource;
 use crate::stand_in::listen_gate::ListenGate;
-use crate::stand_in::stand_in_server::StandInAnswer;
+use crate::stand_in::random_source::RandomSource;
+use crate::stand_in::responses;
+use crate::stand_in::stand_in_server::StandInResponse;
 use crate::stand_in::target_control::TargetControl;
 use crate::stand_in::target_faults::{TargetFault, TargetScope};
 
-/// What the engine knows and does.
+/// The engine behind the HTTP interface: its batch, prefix cache, load history and orders.
 pub(super) struct EngineService {
     pub(super) control: TargetControl,
     options: EngineOptions,
-    gaps: ChanceSource,
+    gaps: RandomSource,
     batch: Arc<Semaphore>,
     state: Mutex<EngineParts>,
 }
@@ -39,11 +39,11 @@
     waiting: u32,
     cache: PrefixCache,
     loads: LoadHistory,
-    orders: OrderDesk,
+    orders: OrderManager,
 }
 
-/// A place in the engine's batch, or in the queue for it; left when dropped.
-pub(super) struct BatchPlace {
+/// A slot in the engine's batch or in the queue for it; dropping it releases the slot.
+pub(super) struct BatchSlot {
     service: Arc<EngineService>,
     permit: Option<OwnedSemaphorePermit>,
 }
@@ -55,27 +55,27 @@
             waiting: 0,
             cache: PrefixCache::new(options.cache_blocks, options.event_lag_ms),
             loads: LoadHistory::new(options.load_lag_ms),
-            orders: OrderDesk::new(&options),
+            orders: OrderManager::new(&options),
         };
         EngineService {
             control: TargetControl::new(options.seed, gate),
-            gaps: ChanceSource::new(options.seed),
+            gaps: RandomSource::new(options.seed),
             batch: Arc::new(Semaphore::new(options.batch_max)),
             state: Mutex::new(parts),
             options,
         }
     }
 
-    /// Whether calls for a model are answered.
+    /// Whether the engine serves a model now.
     pub(super) fn has_model(&self, model: &str) -> bool {
         self.lock().orders.state().model.as_str() == model
     }
 
     pub(super) fn orders(&self) -> Vec<EngineOrder> {
-        self.lock().orders.taken().to_vec()
+        self.lock().orders.accepted().to_vec()
     }
 
-    /// The time between two tokens with what runs now.
+    /// Returns the time between two tokens at the current batch size.
     pub(super) fn token_time(&self) -> Duration {
         let others = u64::from(self.lock().running.saturating_sub(1));
         let permille = 1000 + self.options.slowdown_permille * others;
@@ -86,43 +86,43 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn answer_order(&self, body: &[u8]) -> StandInAnswer {
+    pub(super) fn answer_order(&self, body: &[u8]) -> StandInResponse {
         let order: EngineOrder = match serde_json::from_slice(body) {
             Ok(order) => order,
-            Err(error) => return answers::bytes(StatusCode::BAD_REQUEST, error.to_string()),
+            Err(error) => return responses::bytes(StatusCode::BAD_REQUEST, error.to_string()),
         };
         let fault = self.control.faults.pick(TargetScope::Orders);
-        let taken = self.lock().orders.take(order);
+        let outcome = self.lock().orders.apply(order);
         if fault.is_some() {
-            return StandInAnswer::Close;
+            return StandInResponse::Close;
         }
-        match taken {
-            OrderAnswer::Accepted => answers::status(StatusCode::ACCEPTED),
-            OrderAnswer::Fenced => answers::status(StatusCode::CONFLICT),
-            OrderAnswer::Throttled { retry_after_ms } => {
-                answers::retry_after(StatusCode::TOO_MANY_REQUESTS, retry_after_ms)
+        match outcome {
+            OrderOutcome::Accepted => responses::status(StatusCode::ACCEPTED),
+            OrderOutcome::Fenced => responses::status(StatusCode::CONFLICT),
+            OrderOutcome::Throttled { retry_after_ms } => {
+                responses::retry_after(StatusCode::TOO_MANY_REQUESTS, retry_after_ms)
             }
         }
     }
 
-    pub(super) fn answer_cache_events(&self, query: &str) -> StandInAnswer {
+    pub(super) fn answer_cache_events(&self, query: &str) -> StandInResponse {
         if self.control.faults.pick(TargetScope::CacheEvents).is_some() {
-            return StandInAnswer::Close;
+            return StandInResponse::Close;
         }
         let after = query.strip_prefix("after=").unwrap_or("0");
         let Ok(after) = after.parse() else {
-            return answers::status(StatusCode::BAD_REQUEST);
+            return responses::status(StatusCode::BAD_REQUEST);
         };
         let gap = self.gaps.draw(self.options.event_gap_permille);
-        let news = self.lock().cache.news(after, gap);
-        answers::json(StatusCode::OK, &news)
+        let update = self.lock().cache.update_after(after, gap);
+        responses::json(StatusCode::OK, &update)
     }
 
-    pub(super) async fn answer_health(&self) -> StandInAnswer {
+    pub(super) async fn answer_health(&self) -> StandInResponse {
         match self.control.faults.pick(TargetScope::Health) {
             Some(TargetFault::Hang) => std::future::pending().await,
             Some(TargetFault::Late { ms }) => tokio::time::sleep(Duration::from_millis(ms)).await,
-            Some(_) => return StandInAnswer::Close,
+            Some(_) => return StandInResponse::Close,
             None => {}
         }
         let state = self.control.state();
@@ -130,19 +130,23 @@
         let load = parts.loads.report();
         let engine = parts.orders.state();
         let health = json!({"state": state, "load": load, "engine": engine});
-        answers::json(StatusCode::OK, &health)
+        responses::json(StatusCode::OK, &health)
     }
 
-    pub(super) fn plan(&self, request: &ChatRequest, attempt: String) -> (ChatAnswer, Duration) {
+    pub(super) fn plan(
+        &self,
+        request: &ChatRequest,
+        attempt: String,
+    ) -> (ChatCompletion, Duration) {
         let prompt = request.prompt();
         let chain = prefix_chain(&prompt);
-        let known = self.lock().cache.take(&chain);
-        let wanted = request.wanted_tokens(self.options.seed, self.options.answer_tokens);
-        let tokens = wanted.min(request.limit()).max(1);
-        let new_blocks = (chain.len() - known) as u64;
+        let cached = self.lock().cache.use_blocks(&chain);
+        let unlimited = request.unlimited_tokens(self.options.seed, self.options.answer_tokens);
+        let tokens = unlimited.min(request.limit()).max(1);
+        let new_blocks = (chain.len() - cached) as u64;
         let first_ms = self.options.first_token_ms + self.options.block_ms * new_blocks;
         let block_tokens = (beechsaddle_core::hash::PREFIX_BLOCK_BYTES / 4) as u64;
-        let answer = ChatAnswer {
+        let completion = ChatCompletion {
             proof: ChatProof {
                 attempt,
                 prompt: ChatProof::prompt_hash(&prompt),
@@ -151,11 +155,11 @@
             },
             model: request.model.clone(),
             input_tokens: request.input_tokens(),
-            cached_tokens: known as u64 * block_tokens,
-            limited: tokens < wanted,
+            cached_tokens: cached as u64 * block_tokens,
+            limited: tokens < unlimited,
             wants_usage: request.wants_usage(),
         };
-        (answer, Duration::from_millis(first_ms))
+        (completion, Duration::from_millis(first_ms))
     }
 }
 
@@ -165,22 +169,22 @@
     }
 }
 
-impl BatchPlace {
+impl BatchSlot {
     pub(super) async fn enter(service: Arc<EngineService>) -> Self {
         let batch = Arc::clone(&service.batch);
         service.lock().change_load(0, 1);
-        let mut place = BatchPlace {
+        let mut slot = BatchSlot {
             service,
             permit: None,
         };
-        // The semaphore is never closed.
-        place.permit = batch.acquire_owned().await.ok();
-        place.service.lock().change_load(1, -1);
-        place
+        // Acquiring cannot fail, as the semaphore is never closed.
+        slot.permit = batch.acquire_owned().await.ok();
+        slot.service.lock().change_load(1, -1);
+        slot
     }
 }
 
-impl Drop for BatchPlace {
+impl Drop for BatchSlot {
     fn drop(&mut self) {
         let mut parts = self.service.lock();
         if self.permit.is_some() {
@@ -200,6 +204,6 @@
             waiting: self.waiting,
             cache_permille: self.cache.permille(),
         };
-        self.loads.note(load);
+        self.loads.record(load);
     }
 }
--- a/crates/beechsaddle-lab/src/stand_in/engine/load_history.rs
+++ b/crates/beechsaddle-lab/src/stand_in/engine/load_history.rs
@@ -1,4 +1,4 @@
-//! The `load_history` module provides load reports that lag.
+//! The `load_history` module provides delayed load reports.
 
 use std::collections::VecDeque;
 
@@ -6,7 +6,7 @@
 
 use beechsaddle_core::target::LoadReport;
 
-/// Past loads, oldest first, as far back as the lag.
+/// Past load values, oldest first, as far back as the reporting delay.
 #[derive(Debug)]
 pub(super) struct LoadHistory {
     lag: Duration,
@@ -21,25 +21,25 @@
         }
     }
 
-    /// Notes the load as it is now.
-    pub(super) fn note(&mut self, load: LoadReport) {
+    /// Records the current load.
+    pub(super) fn record(&mut self, load: LoadReport) {
         let now = Instant::now();
         self.loads.push_back((now, load));
-        self.forget(now);
+        self.evict_old(now);
     }
 
-    /// The load as it was before the lag.
+    /// Returns the load as it was before the reporting delay; zero if none was recorded by then.
     pub(super) fn report(&mut self) -> LoadReport {
         let now = Instant::now();
-        self.forget(now);
+        self.evict_old(now);
         match self.loads.front() {
             Some((at, load)) if *at + self.lag <= now => *load,
             Some(_) | None => LoadReport::default(),
         }
     }
 
-    /// Keeps one load from before the lag.
-    fn forget(&mut self, now: Instant) {
+    /// Evicts old values up to the last one before the reporting delay.
+    fn evict_old(&mut self, now: Instant) {
         while self
             .loads
             .get(1)
--- a/crates/beechsaddle-lab/src/stand_in/engine/order_desk.rs
+++ b/crates/beechsaddle-lab/src/stand_in/engine/order_manager.rs
@@ -1,4 +1,4 @@
-//! The `order_desk` module provides how an engine takes orders.
+//! The `order_manager` module provides the handling of orders to an engine.
 
 use serde::{Deserialize, Serialize};
 use tokio::time::{Duration, Instant};
@@ -7,27 +7,27 @@
 
 use super::engine_options::EngineOptions;
 
-/// An order as it comes.
+/// An order as it is received.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// The fencing number.
+    /// The fencing number of the sender.
     pub fence: u64,
-    /// The state to reach.
+    /// The state that the engine has to reach.
     #[serde(flatten)]
     pub state: EngineState,
 }
 
-/// How an order was received.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum OrderAnswer {
+pub(super) enum OrderOutcome {
     Accepted,
     Fenced,
     Throttled { retry_after_ms: u64 },
 }
 
-/// Takes orders; the last one wins.
+/// The state of an engine under orders; the last accepted order applies.
 #[derive(Debug)]
-pub(super) struct OrderDesk {
+pub(super) struct OrderManager {
     checks_fence: bool,
     load: Duration,
     weight_gap: Duration,
@@ -35,12 +35,12 @@
     state: EngineState,
     loading: Option<(Instant, EngineState)>,
     last_load: Option<Instant>,
-    taken: Vec<EngineOrder>,
+    accepted: Vec<EngineOrder>,
 }
 
-impl OrderDesk {
+impl OrderManager {
     pub(super) fn new(options: &EngineOptions) -> Self {
-        OrderDesk {
+        OrderManager {
             checks_fence: options.checks_fence,
             load: Duration::from_millis(options.load_ms),
             weight_gap: Duration::from_millis(options.weight_gap_ms),
@@ -48,11 +48,11 @@
             state: options.state.clone(),
             loading: None,
             last_load: None,
-            taken: Vec::new(),
+            accepted: Vec::new(),
         }
     }
 
-    /// What the engine serves now.
+    /// Returns the state that the engine serves now.
     pub(super) fn state(&mut self) -> EngineState {
         if let Some((ready, state)) = self.loading.take() {
             if ready <= Instant::now() {
@@ -64,27 +64,27 @@
         self.state.clone()
     }
 
-    /// Takes an order, or not.
-    pub(super) fn take(&mut self, order: EngineOrder) -> OrderAnswer {
+    /// Accepts an order, or rejects it for an outdated fencing number or for loading too soon.
+    pub(super) fn apply(&mut self, order: EngineOrder) -> OrderOutcome {
         if self.checks_fence && order.fence < self.highest_fence {
-            return OrderAnswer::Fenced;
+            return OrderOutcome::Fenced;
         }
         self.highest_fence = self.highest_fence.max(order.fence);
         let now = Instant::now();
         if self.state() != order.state {
             if let Some(retry_after_ms) = self.busy_ms(now) {
-                return OrderAnswer::Throttled { retry_after_ms };
+                return OrderOutcome::Throttled { retry_after_ms };
             }
             self.last_load = Some(now);
         }
         self.loading = Some((now + self.load, order.state.clone()));
-        self.taken.push(order);
-        OrderAnswer::Accepted
+        self.accepted.push(order);
+        OrderOutcome::Accepted
     }
 
-    /// The orders taken so far.
-    pub(super) fn taken(&self) -> &[EngineOrder] {
-        &self.taken
+    /// Returns the accepted orders, oldest first.
+    pub(super) fn accepted(&self) -> &[EngineOrder] {
+        &self.accepted
     }
 
     fn busy_ms(&self, now: Instant) -> Option<u64> {
--- a/crates/beechsaddle-lab/src/stand_in/engine/prefix_cache.rs
+++ b/crates/beechsaddle-lab/src/stand_in/engine/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! The `prefix_cache` module provides a cache of prompt prefixes and its late events.
+//! The `prefix_cache` module provides a cache of prompt prefixes and its delayed events.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,10 +6,10 @@
 
 use beechsaddle_core::target::CacheUpdate;
 
-/// How many events are kept for those who ask late.
-const EVENTS_KEPT: usize = 4096;
+/// How many events are retained for routers that lag behind.
+const EVENTS_RETAINED: usize = 4096;
 
-/// The least recently used cache of prefix blocks.
+/// An LRU cache of prefix blocks.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     blocks_max: usize,
@@ -42,26 +42,27 @@
         }
     }
 
-    /// Uses a prompt's blocks and tells how many of the leading ones were there.
-    pub(super) fn take(&mut self, chain: &[u64]) -> usize {
-        let known = chain
+    /// Looks up and inserts the blocks of a prompt, and returns how many leading blocks were
+    /// cached.
+    pub(super) fn use_blocks(&mut self, chain: &[u64]) -> usize {
+        let cached = chain
             .iter()
             .take_while(|hash| self.last_use.contains_key(hash))
             .count();
         for hash in chain {
             self.touch(*hash);
         }
-        known
+        cached
     }
 
-    /// The share of the cache that is in use, in thousandths.
+    /// Returns the occupied share of the cache, in thousandths.
     pub(super) fn permille(&self) -> u32 {
         let used = self.last_use.len() * 1000;
         (used / self.blocks_max.max(1)) as u32
     }
 
-    /// The events from a number on that are old enough to be published.
-    pub(super) fn news(&self, after: u64, gap: bool) -> CacheUpdate {
+    /// Returns the published events from a number on; with `gap` the older half is lost.
+    pub(super) fn update_after(&self, after: u64, gap: bool) -> CacheUpdate {
         let now = Instant::now();
         let mut published: Vec<&CacheEvent> = self
             .events
@@ -69,7 +70,6 @@
             .filter(|event| event.number >= after && event.at + self.lag <= now)
             .collect();
         if gap {
-            // The older half is lost.
             published.drain(..published.len().div_ceil(2));
         }
         let first = published.first().map_or(after, |event| event.number);
@@ -111,7 +111,7 @@
             added,
         });
         self.next_event += 1;
-        if self.events.len() > EVENTS_KEPT {
+        if self.events.len() > EVENTS_RETAINED {
             self.events.pop_front();
         }
     }
--- a/crates/beechsaddle-lab/src/stand_in/engine/token_stream.rs
+++ b/crates/beechsaddle-lab/src/stand_in/engine/token_stream.rs
@@ -1,4 +1,4 @@
-//! The `token_stream` module provides the body of a streamed answer.
+//! The `token_stream` module provides the body of a streamed response.
 
 use std::io;
 use std::sync::Arc;
@@ -8,31 +8,32 @@
 use futures::Stream;
 use http_body::Frame;
 
-use super::chat_answer::ChatAnswer;
-use super::engine_service::{BatchPlace, EngineService};
+use super::chat_completion::ChatCompletion;
+use super::engine_service::{BatchSlot, EngineService};
 use crate::stand_in::run_ledger::RunGuard;
 
-/// A streamed answer on its way. Dropping it, as when the client hangs up, cancels the run.
+/// A streamed response in progress. Dropping it, as when the client disconnects, cancels the
+/// execution.
 pub(super) struct TokenStream {
     pub(super) service: Arc<EngineService>,
-    pub(super) answer: ChatAnswer,
-    pub(super) place: BatchPlace,
+    pub(super) completion: ChatCompletion,
+    pub(super) slot: BatchSlot,
     pub(super) guard: RunGuard,
     pub(super) sent: u64,
-    /// After how many tokens the answer breaks off.
-    pub(super) dies_after: Option<u64>,
+    /// The number of tokens after which an injected fault aborts the response.
+    pub(super) abort_after: Option<u64>,
 }
 
 impl TokenStream {
-    /// The parts of the body, each when it is due.
+    /// Returns the body frames, each at the time it is generated.
     pub(super) fn into_frames(self) -> impl Stream<Item = io::Result<Frame<Bytes>>> + Send {
         futures::stream::unfold(Some(self), |stream| async {
             let mut stream = stream?;
-            if stream.dies_after == Some(stream.sent) {
-                let broken_off = io::Error::other("broken off on purpose");
-                return Some((Err(broken_off), None));
+            if stream.abort_after == Some(stream.sent) {
+                let aborted = io::Error::other("response aborted by an injected fault");
+                return Some((Err(aborted), None));
             }
-            if stream.sent == stream.answer.proof.tokens {
+            if stream.sent == stream.completion.proof.tokens {
                 stream.complete();
                 return None;
             }
@@ -49,19 +50,19 @@
         if !pause.is_zero() {
             tokio::time::sleep(pause).await;
         }
-        let events = self.answer.events(self.sent);
+        let events = self.completion.events(self.sent);
         self.sent += 1;
         self.guard.token();
         Frame::data(Bytes::from(events))
     }
 
-    /// Notes all tokens of an answer that is sent in one, and its end.
+    /// Records the remaining tokens and the completion of the execution.
     pub(super) fn complete(mut self) {
-        while self.sent < self.answer.proof.tokens {
+        while self.sent < self.completion.proof.tokens {
             self.sent += 1;
             self.guard.token();
         }
         self.guard.complete();
-        drop(self.place);
+        drop(self.slot);
     }
 }
--- a/crates/beechsaddle-lab/src/stand_in/fault_picker.rs
+++ b/crates/beechsaddle-lab/src/stand_in/fault_picker.rs
@@ -1,4 +1,5 @@
-//! The `fault_picker` module provides which fault hits a request to a target.
+//! The `fault_picker` module provides the choice of the fault that is injected into a request to a
+//! target.
 
 use std::fmt;
 use std::sync::{Mutex, PoisonError};
@@ -6,28 +7,28 @@
 
 use tokio::time::Instant;
 
-use super::chance_source::ChanceSource;
 use super::listen_gate::ListenGate;
+use super::random_source::RandomSource;
 use super::target_faults::{TargetFault, TargetFaults, TargetScope};
 
-/// Picks faults for requests.
+/// Chooses faults for requests by the current rules.
 pub struct FaultPicker {
-    chances: ChanceSource,
+    random: RandomSource,
     gate: ListenGate,
     current: Mutex<(Instant, TargetFaults)>,
 }
 
 impl FaultPicker {
-    /// A picker without faults.
+    /// Creates a picker without faults.
     pub fn new(seed: u64, gate: ListenGate) -> Self {
         FaultPicker {
-            chances: ChanceSource::new(seed),
+            random: RandomSource::new(seed),
             gate,
             current: Mutex::new((Instant::now(), TargetFaults::default())),
         }
     }
 
-    /// Replaces the faults.
+    /// Replaces all faults; the listener closes for `refuse_ms`, or opens if that is zero.
     pub fn set(&self, faults: TargetFaults) {
         if faults.refuse_ms > 0 {
             self.gate
@@ -39,7 +40,8 @@
         *current = (Instant::now(), faults);
     }
 
-    /// The fault that hits the next request of a kind.
+    /// Returns the fault to inject into the next request of a kind, and counts it against the
+    /// rule's limit.
     pub fn pick(&self, scope: TargetScope) -> Option<TargetFault> {
         let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
         let (since, faults) = &mut *current;
@@ -49,7 +51,7 @@
             .iter_mut()
             .filter(|rule| rule.scope == scope && rule.count != Some(0))
             .find(|rule| rule.for_ms.is_none_or(|span| age_ms < span))?;
-        if !self.chances.draw(rule.permille) {
+        if !self.random.draw(rule.permille) {
             return None;
         }
         rule.count = rule.count.map(|left| left.saturating_sub(1));
--- a/crates/beechsaddle-lab/src/stand_in/mod.rs
+++ b/crates/beechsaddle-lab/src/stand_in/mod.rs
@@ -1,15 +1,16 @@
-//! The `stand_in` module provides small servers that take the place of the platform and of targets.
+//! The `stand_in` module provides small servers that replace the platform and targets in tests.
 //!
-//! Each runs as a process of its own (`beechsaddle-lab stand-in platform`), or inside a test.
+//! Each runs as a process of its own (`beechsaddle-lab stand-in platform`) or inside a test
+//! process.
 
-mod answers;
-mod chance_source;
 mod command;
 pub mod engine;
 mod fault_picker;
 mod listen_gate;
 pub mod plain;
 pub mod platform;
+mod random_source;
+mod responses;
 mod run_ledger;
 mod stand_in_server;
 mod target_control;
--- a/crates/beechsaddle-lab/src/stand_in/plain/mod.rs
+++ b/crates/beechsaddle-lab/src/stand_in/plain/mod.rs
@@ -1,6 +1,6 @@
 //! The `plain` module provides the stand-in for a plain service.
 //!
-//! It answers every call with a [`PlainEcho`]. Beside it takes `GET /health`, `GET /ran`,
+//! It answers every call with a [`PlainEcho`]. In addition it serves `GET /health`, `GET /ran`,
 //! `POST /faults` ([`TargetFaults`](super::TargetFaults)) and `POST /leave`.
 
 mod plain_echo;
--- a/crates/beechsaddle-lab/src/stand_in/plain/plain_echo.rs
+++ b/crates/beechsaddle-lab/src/stand_in/plain/plain_echo.rs
@@ -1,22 +1,22 @@
-//! The `plain_echo` module provides what a plain service stand-in answers.
+//! The `plain_echo` module provides the response body of a plain service stand-in.
 
 use serde::{Deserialize, Serialize};
 
-/// A call as the plain service saw it.
+/// A call as the plain service received it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlainEcho {
-    /// Its method.
+    /// The HTTP method.
     pub method: String,
-    /// Its path.
+    /// The path of the URI.
     pub path: String,
-    /// Its query, empty when there is none.
+    /// The query, empty if there is none.
     pub query: String,
-    /// Its body as text.
+    /// The body as UTF-8 text.
     pub body: String,
-    /// Its idempotency key, empty when there is none.
+    /// The idempotency key, empty if there is none.
     pub key: String,
-    /// Its attempt id.
+    /// The attempt id.
     pub attempt: String,
-    /// How often a call with this key ran, this one included; zero without a key.
+    /// How often a call with this key was executed, including this one; zero without a key.
     pub runs: u64,
 }
--- a/crates/beechsaddle-lab/src/stand_in/plain/plain_options.rs
+++ b/crates/beechsaddle-lab/src/stand_in/plain/plain_options.rs
@@ -1,15 +1,15 @@
-//! The `plain_options` module provides how a plain service stand-in is started.
+//! The `plain_options` module provides the options of a plain service stand-in.
 
 use std::net::SocketAddr;
 
-/// How a plain service stand-in is started.
+/// Options of a plain service stand-in.
 #[derive(Clone, Debug)]
 pub struct PlainOptions {
-    /// Where it listens.
+    /// The address to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// The seed of chances.
+    /// The seed of the random draws for fault rules.
     pub seed: u64,
-    /// How long a call takes, in milliseconds.
+    /// The time to answer a call, in milliseconds.
     pub answer_ms: u64,
 }
 
--- a/crates/beechsaddle-lab/src/stand_in/plain/plain_server.rs
+++ b/crates/beechsaddle-lab/src/stand_in/plain/plain_server.rs
@@ -10,7 +10,7 @@
 use crate::stand_in::stand_in_server::StandInServer;
 use crate::stand_in::target_faults::TargetFaults;
 
-/// A running plain service stand-in; it stops when this is dropped.
+/// A running plain service stand-in; dropping it stops the server.
 #[derive(Debug)]
 pub struct PlainServer {
     server: StandInServer,
@@ -18,7 +18,7 @@
 }
 
 impl PlainServer {
-    /// Starts one.
+    /// Starts a stand-in on a thread of its own.
     pub fn try_start(options: PlainOptions) -> eyre::Result<Self> {
         let gate = ListenGate::new();
         let listen = options.listen;
@@ -27,27 +27,27 @@
         Ok(PlainServer { server, service })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Replaces what is wrong at it.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: TargetFaults) {
         self.service.control.faults.set(faults);
     }
 
-    /// Announces that it leaves.
+    /// Reports the state `leaving` from now on.
     pub fn leave(&self) {
         self.service.control.leave();
     }
 
-    /// What ran so far.
+    /// Returns the requests executed since the start.
     pub fn ran(&self) -> RunReport {
         self.service.control.ledger.report()
     }
 
-    /// Waits until the process ends.
+    /// Blocks until the process ends.
     pub fn join(self) {
         self.server.join();
     }
--- a/crates/beechsaddle-lab/src/stand_in/plain/plain_service.rs
+++ b/crates/beechsaddle-lab/src/stand_in/plain/plain_service.rs
@@ -1,4 +1,4 @@
-//! The `plain_service` module provides the answers of the plain service stand-in.
+//! The `plain_service` module provides the request handling of the plain service stand-in.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 
 use super::plain_echo::PlainEcho;
 use super::plain_options::PlainOptions;
-use crate::stand_in::answers;
 use crate::stand_in::listen_gate::ListenGate;
-use crate::stand_in::stand_in_server::{StandInAnswer, StandInService};
+use crate::stand_in::responses;
+use crate::stand_in::stand_in_server::{StandInResponse, StandInService};
 use crate::stand_in::target_control::{TargetControl, header_text};
 use crate::stand_in::target_faults::{TargetFault, TargetScope};
 
-/// What a call that is not this one is called.
+/// The attempt id in responses to [`TargetFault::WrongAttempt`].
 const OTHER_ATTEMPT: &str = "other@1#1.0";
 
-/// Answers calls with what it saw of them.
+/// Answers each call with a description of the call.
 #[derive(Debug)]
 pub(super) struct PlainService {
     pub(super) control: TargetControl,
@@ -32,7 +32,7 @@
         }
     }
 
-    async fn answer_health(&self) -> StandInAnswer {
+    async fn answer_health(&self) -> StandInResponse {
         let health = json!({
             "state": self.control.state(),
             "load": {"running": 0, "waiting": 0, "cache_permille": 0},
@@ -41,17 +41,17 @@
             Some(TargetFault::Hang) => std::future::pending().await,
             Some(TargetFault::Late { ms }) => {
                 tokio::time::sleep(Duration::from_millis(ms)).await;
-                answers::json(StatusCode::OK, &health)
+                responses::json(StatusCode::OK, &health)
             }
-            Some(_) => StandInAnswer::Close,
-            None => answers::json(StatusCode::OK, &health),
+            Some(_) => StandInResponse::Close,
+            None => responses::json(StatusCode::OK, &health),
         }
     }
 
-    async fn answer_call(&self, request: Request<Bytes>) -> StandInAnswer {
+    async fn answer_call(&self, request: Request<Bytes>) -> StandInResponse {
         let fault = self.control.faults.pick(TargetScope::Calls);
         if let Some(TargetFault::Busy { retry_after_ms }) = fault {
-            return answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, retry_after_ms);
+            return responses::retry_after(StatusCode::SERVICE_UNAVAILABLE, retry_after_ms);
         }
         let mut echo = read_echo(&request);
         let guard = self.control.ledger.start(&echo.attempt, &echo.key);
@@ -59,12 +59,12 @@
         tokio::time::sleep(self.answer_time).await;
         match fault {
             Some(TargetFault::Hang) => std::future::pending().await,
-            Some(TargetFault::CloseAfterRead) => return StandInAnswer::Close,
+            Some(TargetFault::CloseAfterRead) => return StandInResponse::Close,
             Some(TargetFault::ServerError) => {
-                return answers::status(StatusCode::INTERNAL_SERVER_ERROR);
+                return responses::status(StatusCode::INTERNAL_SERVER_ERROR);
             }
-            Some(TargetFault::Garbage) => return answers::garbage(),
-            Some(TargetFault::DieAfter { .. }) => return broken_answer(&echo),
+            Some(TargetFault::Garbage) => return responses::malformed(),
+            Some(TargetFault::DieAfter { .. }) => return truncated_response(&echo),
             Some(TargetFault::Late { ms }) => {
                 tokio::time::sleep(Duration::from_millis(ms)).await;
             }
@@ -72,14 +72,14 @@
             Some(TargetFault::Busy { .. }) | None => {}
         }
         guard.complete();
-        echo_answer(&echo)
+        echo_response(&echo)
     }
 }
 
 impl StandInService for PlainService {
-    async fn answer(&self, request: Request<Bytes>) -> StandInAnswer {
-        if let Some(answer) = self.control.answer(&request) {
-            return answer;
+    async fn respond(&self, request: Request<Bytes>) -> StandInResponse {
+        if let Some(response) = self.control.respond(&request) {
+            return response;
         }
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/health") => self.answer_health().await,
@@ -101,15 +101,15 @@
     }
 }
 
-fn echo_answer(echo: &PlainEcho) -> StandInAnswer {
-    answers::with_attempt(answers::json(StatusCode::OK, echo), &echo.attempt)
+fn echo_response(echo: &PlainEcho) -> StandInResponse {
+    responses::with_attempt(responses::json(StatusCode::OK, echo), &echo.attempt)
 }
 
-fn broken_answer(echo: &PlainEcho) -> StandInAnswer {
+fn truncated_response(echo: &PlainEcho) -> StandInResponse {
     let half = serde_json::to_vec(echo).map(|mut bytes| {
         bytes.truncate(bytes.len() / 2);
         bytes
     });
     let parts = vec![Bytes::from(half.unwrap_or_default())];
-    answers::with_attempt(answers::broken(parts), &echo.attempt)
+    responses::with_attempt(responses::truncated(parts), &echo.attempt)
 }
--- a/crates/beechsaddle-lab/src/stand_in/platform/mod.rs
+++ b/crates/beechsaddle-lab/src/stand_in/platform/mod.rs
@@ -1,7 +1,7 @@
 //! The `platform` module provides the stand-in for the platform's object API.
 //!
-//! Beside the calls of `docs/API.md` it takes `POST /faults` (a [`PlatformFaults`] that replaces the
-//! one before, or `DELETE /faults`) and `GET /counters`.
+//! In addition to the calls of `docs/API.md` it serves `POST /faults` (replaces the current
+//! [`PlatformFaults`]), `DELETE /faults` and `GET /counters`.
 
 mod object_call;
 mod object_store;
--- a/crates/beechsaddle-lab/src/stand_in/platform/object_call.rs
+++ b/crates/beechsaddle-lab/src/stand_in/platform/object_call.rs
@@ -1,4 +1,4 @@
-//! The `object_call` module provides calls on the object API as they are read from requests.
+//! The `object_call` module provides parsed calls of the object API.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +8,24 @@
 use super::object_store::ChangeGuard;
 use super::platform_faults::CallScope;
 
-/// A call on the object API, read from a request.
+/// A call of the object API, parsed from a request.
 pub(super) struct ObjectCall {
-    /// Which fault rules and limits are about it.
+    /// The kind of call, for fault rules and rate limits.
     pub(super) scope: CallScope,
-    /// How it was asked.
     pub(super) method: Method,
     /// The key of an object, or the prefix of a list or watch.
     pub(super) key: String,
-    /// The last key of a list or the revision of a watch.
+    /// The last key of the previous list page, or the revision that a watch starts from.
     pub(super) after: Option<String>,
-    /// Whether it is a list or watch.
-    pub(super) many: bool,
-    /// The headers.
+    /// Whether the call is a list or a watch.
+    pub(super) is_collection: bool,
     pub(super) headers: HeaderMap,
-    /// The value of a write.
+    /// The value to write.
     pub(super) body: Bytes,
 }
 
 impl ObjectCall {
-    /// Reads a call; `None` when it is malformed.
+    /// Parses a call; `None` if the request is malformed.
     pub(super) fn read(request: Request<Bytes>) -> Option<ObjectCall> {
         let (parts, body) = request.into_parts();
         let path = parts.uri.path();
@@ -38,7 +36,7 @@
             (&Method::PUT | &Method::DELETE, _) => CallScope::Writes,
             _ => return None,
         };
-        let (key, many) = match path.strip_prefix("/objects/") {
+        let (key, is_collection) = match path.strip_prefix("/objects/") {
             Some(key) => (key.to_owned(), false),
             None if path == "/list" || path == "/watch" => (query.get("prefix")?.clone(), true),
             None => return None,
@@ -48,18 +46,18 @@
             method: parts.method,
             key,
             after: query.get("after").cloned(),
-            many,
+            is_collection,
             headers: parts.headers,
             body,
         })
     }
 
-    /// The value that a write leaves; `None` for a delete.
+    /// Returns the value that the call stores; `None` for a delete.
     pub(super) fn written_value(&self) -> Option<Bytes> {
         (self.method == Method::PUT).then(|| self.body.clone())
     }
 
-    /// The condition of a write; `None` when there is none.
+    /// Returns the condition of a write; `None` if it is missing or malformed.
     pub(super) fn guard(&self) -> Option<ChangeGuard> {
         if let Some(value) = self.headers.get("if-none-match") {
             return (value == "*").then_some(ChangeGuard::Absent);
@@ -69,7 +67,7 @@
         version.parse().ok().map(ChangeGuard::Version)
     }
 
-    /// The host in `Beechsaddle-Router: <host>@<epoch>`.
+    /// Returns the host in `Beechsaddle-Router: <host>@<epoch>`, empty without this header.
     pub(super) fn host(&self) -> &str {
         self.headers
             .get("beechsaddle-router")
@@ -79,7 +77,7 @@
     }
 }
 
-/// Keys need no escapes, so that the parts of a query are taken as they are.
+/// Splits a query into its parameters; keys need no escaping, so values are not decoded.
 fn read_query(query: &str) -> BTreeMap<String, String> {
     query
         .split('&')
--- a/crates/beechsaddle-lab/src/stand_in/platform/object_store.rs
+++ b/crates/beechsaddle-lab/src/stand_in/platform/object_store.rs
@@ -1,17 +1,17 @@
-//! The `object_store` module provides versioned objects in memory.
+//! The `object_store` module provides an in-memory store of versioned objects.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
 use bytes::Bytes;
 
-/// How many objects a list or a watch answers with at most.
+/// The largest number of objects in one response to a list or a watch.
 const PAGE_OBJECTS: usize = 1000;
 
-/// How many bytes of values a watch answers with at most, unless one object alone is larger.
+/// The most bytes of values in one response to a watch, unless a single object is larger.
 const PAGE_BYTES: usize = 4_000_000;
 
-/// Objects by key, and the last change of each by revision.
+/// Objects by key, and their keys by the revision of the last change.
 #[derive(Debug, Default)]
 pub struct ObjectStore {
     revision: u64,
@@ -19,63 +19,62 @@
     changes: BTreeMap<u64, String>,
 }
 
-/// A value with the revision at which it was written.
+/// A value and the revision at which it was written.
 #[derive(Clone, Debug)]
 pub struct StoredValue {
     /// The revision of the last change.
     pub version: u64,
-    /// The value; `None` once deleted.
+    /// The value; `None` after a delete.
     pub value: Option<Bytes>,
 }
 
 /// The condition of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeGuard {
-    /// There is no such object.
+    /// The object must not exist.
     Absent,
-    /// The object has this version.
+    /// The object must have this version.
     Version(u64),
 }
 
-/// The outcome of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// Changed, at this revision.
+    /// The change was applied at this revision.
     Changed(u64),
-    /// The condition did not hold.
+    /// The condition failed.
     Conflict,
-    /// There was nothing to delete.
+    /// The object to delete does not exist.
     Missing,
 }
 
-/// Objects and the revision up to which they are complete.
+/// A page of objects that is complete up to a revision.
 #[derive(Clone, Debug)]
 pub struct ObjectPage {
-    /// The revision.
+    /// The revision up to which the page is complete.
     pub revision: u64,
-    /// The objects with their keys.
+    /// The objects and their keys.
     pub objects: Vec<(String, StoredValue)>,
 }
 
 impl ObjectStore {
-    /// The object of that key.
+    /// Returns an object that exists and is not deleted.
     pub fn get(&self, key: &str) -> Option<&StoredValue> {
         self.objects
             .get(key)
             .filter(|stored| stored.value.is_some())
     }
 
-    /// Writes, or deletes when there is no value.
+    /// Writes a value, or deletes the object if there is none.
     pub fn change(&mut self, key: &str, value: Option<Bytes>, guard: ChangeGuard) -> ChangeOutcome {
         let version = self.get(key).map(|stored| stored.version);
-        let holds = match guard {
+        let is_met = match guard {
             ChangeGuard::Absent => version.is_none(),
-            ChangeGuard::Version(wanted) => version == Some(wanted),
+            ChangeGuard::Version(required) => version == Some(required),
         };
         if value.is_none() && version.is_none() {
             return ChangeOutcome::Missing;
         }
-        if !holds {
+        if !is_met {
             return ChangeOutcome::Conflict;
         }
         self.revision += 1;
@@ -90,7 +89,7 @@
         ChangeOutcome::Changed(self.revision)
     }
 
-    /// The first objects under a prefix after a key, in key order.
+    /// Returns the first objects under a prefix after a key, in key order.
     pub fn list(&self, prefix: &str, after: Option<&str>) -> ObjectPage {
         let start = match after {
             Some(after) if after >= prefix => Bound::Excluded(after),
@@ -110,7 +109,7 @@
         }
     }
 
-    /// What changed under a prefix after a revision, oldest first.
+    /// Returns the changes under a prefix after a revision, oldest first.
     pub fn changed_after(&self, prefix: &str, after: u64) -> ObjectPage {
         let mut page = ObjectPage {
             revision: self.revision.max(after),
@@ -128,7 +127,7 @@
             bytes += stored.value.as_ref().map_or(0, Bytes::len);
             let full = page.objects.len() == PAGE_OBJECTS || bytes > PAGE_BYTES;
             if full && !page.objects.is_empty() {
-                // The page ends before this object, so the next watch has to start before it.
+                // The page ends before this object, so that the next watch starts with it.
                 page.revision = revision - 1;
                 break;
             }
--- a/crates/beechsaddle-lab/src/stand_in/platform/platform_faults.rs
+++ b/crates/beechsaddle-lab/src/stand_in/platform/platform_faults.rs
@@ -1,53 +1,54 @@
-//! The `platform_faults` module provides what can go wrong at the platform.
+//! The `platform_faults` module provides the faults that the platform stand-in injects.
 
 use serde::{Deserialize, Serialize};
 
-/// Everything that is wrong at the platform now; each `POST /faults` replaces it.
+/// All active faults of the platform stand-in; each `POST /faults` replaces them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// For how many milliseconds connections are refused, for everybody.
+    /// How long connections of all clients are refused, in milliseconds.
     pub refuse_ms: u64,
-    /// Rules; the first that matches a call applies.
+    /// Fault rules; the first rule that matches a call applies.
     pub rules: Vec<FaultRule>,
-    /// Limits of rates.
+    /// Rate limits of calls.
     pub limits: RateLimits,
 }
 
-/// Calls a second; `None` is no limit.
+/// Rate limits in calls per second; `None` is unlimited.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RateLimits {
-    /// Reads, lists and watches.
+    /// Limit of reads, lists and watches together.
     pub reads_per_second: Option<u32>,
-    /// Writes and deletes.
+    /// Limit of writes and deletes together.
     pub writes_per_second: Option<u32>,
 }
 
-/// A fault and the calls that it hits.
+/// A fault and the calls that it applies to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultRule {
-    /// Only calls on keys, or with list or watch prefixes, that start so.
+    /// Restricts the rule to calls whose key, or list or watch prefix, starts with this text.
     #[serde(default)]
     pub prefix: String,
-    /// Only calls of routers on these hosts, as told by `Beechsaddle-Router`; empty hits all.
+    /// Restricts the rule to routers on these hosts, as named in `Beechsaddle-Router`; empty
+    /// matches all.
     #[serde(default)]
     pub hosts: Vec<String>,
-    /// Only calls of this kind.
+    /// Restricts the rule to calls of this kind.
     #[serde(default)]
     pub scope: CallScope,
-    /// The share of these calls that is hit, in thousandths.
+    /// The share of matching calls that fail, in thousandths.
     #[serde(default = "always")]
     pub permille: u32,
-    /// How long the rule holds, in milliseconds; without end when absent.
+    /// How long the rule applies, in milliseconds; unlimited when absent.
     #[serde(default)]
     pub for_ms: Option<u64>,
-    /// What happens.
+    /// The fault to inject.
     pub fault: PlatformFault,
 }
 
-/// Which calls a rule is about.
+/// The kinds of calls that a rule applies to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallScope {
@@ -62,37 +63,37 @@
     Watches,
 }
 
-/// What happens to a call.
+/// What happens to a call that a rule matches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum PlatformFault {
-    /// The connection closes and nothing takes effect.
+    /// The connection closes and the call has no effect.
     Close,
-    /// `503` with `Retry-After-Ms`; nothing takes effect.
+    /// The response is `503` with `Retry-After-Ms`, and the call has no effect.
     Unavailable {
-        /// When to come back.
+        /// The delay that the response asks for, in milliseconds.
         retry_after_ms: u64,
     },
-    /// No answer ever comes and nothing takes effect.
+    /// The request is never answered and has no effect.
     Hang,
-    /// The call takes effect and then the connection closes without an answer.
+    /// The call takes effect and then the connection closes without a response.
     LostAnswer,
-    /// The connection closes, and the write takes effect some time later.
+    /// The connection closes, and the write takes effect after a delay.
     LateWrite {
-        /// How much later, in milliseconds.
+        /// The delay in milliseconds.
         late_ms: u64,
     },
-    /// The call takes effect this much later, if its caller is still there.
+    /// The call takes effect after a delay, if its client is still connected.
     Delay {
-        /// How much later, in milliseconds.
+        /// The delay in milliseconds.
         ms: u64,
     },
-    /// The answer is not what the API says.
+    /// The response body does not conform to the API.
     Garbage,
 }
 
 impl FaultRule {
-    /// A rule that hits every call, without end.
+    /// Returns a rule that applies to every call, without a time limit.
     pub fn all(fault: PlatformFault) -> Self {
         FaultRule {
             prefix: String::new(),
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Whether the rule is about a call.
+    /// Whether the rule applies to a call.
     pub fn matches(&self, scope: CallScope, key: &str, host: &str) -> bool {
         let scope_matches = self.scope == CallScope::All || self.scope == scope;
         let host_matches = self.hosts.is_empty() || self.hosts.iter().any(|name| name == host);
--- a/crates/beechsaddle-lab/src/stand_in/platform/platform_options.rs
+++ b/crates/beechsaddle-lab/src/stand_in/platform/platform_options.rs
@@ -1,19 +1,19 @@
-//! The `platform_options` module provides how a platform stand-in is started.
+//! The `platform_options` module provides the options of a platform stand-in.
 
 use std::net::SocketAddr;
 
 use super::platform_faults::PlatformFaults;
 
-/// How a platform stand-in is started.
+/// Options of a platform stand-in.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// Where it listens.
+    /// The address to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// The seed of chances.
+    /// The seed of the random draws for fault rules.
     pub seed: u64,
-    /// How long a watch waits at most, in milliseconds.
+    /// The longest wait of a watch without changes, in milliseconds.
     pub watch_wait_ms: u64,
-    /// Faults and limits from the start.
+    /// The initial faults and rate limits.
     pub faults: PlatformFaults,
 }
 
--- a/crates/beechsaddle-lab/src/stand_in/platform/platform_server.rs
+++ b/crates/beechsaddle-lab/src/stand_in/platform/platform_server.rs
@@ -16,7 +16,7 @@
 use crate::stand_in::listen_gate::ListenGate;
 use crate::stand_in::stand_in_server::StandInServer;
 
-/// A running platform stand-in; it stops when this is dropped.
+/// A running platform stand-in; dropping it stops the server.
 #[derive(Debug)]
 pub struct PlatformServer {
     server: StandInServer,
@@ -24,7 +24,7 @@
 }
 
 impl PlatformServer {
-    /// Starts one.
+    /// Starts a stand-in on a thread of its own.
     pub fn try_start(options: PlatformOptions) -> eyre::Result<Self> {
         let gate = ListenGate::new();
         let listen = options.listen;
@@ -33,27 +33,27 @@
         Ok(PlatformServer { server, service })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Replaces what is wrong at the platform.
+    /// Replaces all faults and rate limits.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.service.set_faults(faults);
     }
 
-    /// What was asked of it so far.
+    /// Returns the counts of calls since the start.
     pub fn counters(&self) -> PlatformCounters {
         self.service.counters()
     }
 
-    /// Writes an object whatever its version is.
+    /// Writes an object regardless of its version, and returns the new version.
     pub fn put(&self, key: &str, object: &PlatformObject) -> eyre::Result<u64> {
         self.put_bytes(key, encode_object(object)?)
     }
 
-    /// Writes bytes whatever the object's version is.
+    /// Writes bytes regardless of the object's version, and returns the new version.
     pub fn put_bytes(&self, key: &str, bytes: Vec<u8>) -> eyre::Result<u64> {
         let guard = match self.service.version(key) {
             Some(version) => ChangeGuard::Version(version),
@@ -61,20 +61,20 @@
         };
         self.service
             .change(key, bytes, guard)
-            .ok_or_else(|| eyre::eyre!("{key} was written by another at the same time"))
+            .ok_or_else(|| eyre::eyre!("{key} was changed by a concurrent write"))
     }
 
-    /// The value of an object.
+    /// Returns the value of an object.
     pub fn bytes(&self, key: &str) -> Option<Vec<u8>> {
         self.service.value(key)
     }
 
-    /// Writes the list of a domain's hosts.
+    /// Writes the host list of a domain.
     pub fn set_hosts(&self, domain: &DomainName, hosts: HostList) -> eyre::Result<u64> {
         self.put(&format!("hosts/{domain}"), &PlatformObject::Hosts(hosts))
     }
 
-    /// Waits until the process ends.
+    /// Blocks until the process ends.
     pub fn join(self) {
         self.server.join();
     }
