--- a/crates/beechsaddle-lab/src/stand_in/platform/platform_service.rs
+++ b/crates/beechsaddle-lab/src/stand_in/platform/platform_service.rs
@@ -1,4 +1,4 @@
-//! The `platform_service` module provides the answers of the platform stand-in.
+//! The `platform_service` module provides the request handling of the platform stand-in.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -18,17 +18,17 @@
 use super::platform_faults::{CallScope, PlatformFault, PlatformFaults};
 use super::platform_options::PlatformOptions;
 use super::platform_state::{PlatformState, WaitingWatch, change, lock};
-use crate::stand_in::answers;
-use crate::stand_in::chance_source::ChanceSource;
 use crate::stand_in::listen_gate::ListenGate;
-use crate::stand_in::stand_in_server::{StandInAnswer, StandInService};
+use crate::stand_in::random_source::RandomSource;
+use crate::stand_in::responses;
+use crate::stand_in::stand_in_server::{StandInResponse, StandInService};
 
-/// Answers calls on the object API.
+/// Serves the object API and the control calls `/faults` and `/counters`.
 pub struct PlatformService {
     state: Arc<Mutex<PlatformState>>,
     revision: Arc<watch::Sender<u64>>,
-    faults_set: watch::Sender<()>,
-    chances: ChanceSource,
+    faults_changed: watch::Sender<()>,
+    random: RandomSource,
     gate: ListenGate,
     watch_wait: Duration,
 }
@@ -36,12 +36,12 @@
 impl PlatformService {
     pub(super) fn new(options: PlatformOptions, gate: ListenGate) -> Self {
         let (revision, _) = watch::channel(0);
-        let (faults_set, _) = watch::channel(());
+        let (faults_changed, _) = watch::channel(());
         let service = PlatformService {
             state: Arc::new(Mutex::new(PlatformState::new())),
             revision: Arc::new(revision),
-            faults_set,
-            chances: ChanceSource::new(options.seed),
+            faults_changed,
+            random: RandomSource::new(options.seed),
             gate,
             watch_wait: Duration::from_millis(options.watch_wait_ms),
         };
@@ -60,7 +60,7 @@
         state.faults = faults;
         state.faults_since = Instant::now();
         drop(state);
-        self.faults_set.send_replace(());
+        self.faults_changed.send_replace(());
     }
 
     pub(super) fn counters(&self) -> PlatformCounters {
@@ -88,46 +88,46 @@
         lock(&self.state)
     }
 
-    fn control(&self, request: &Request<Bytes>) -> Option<StandInAnswer> {
+    fn control(&self, request: &Request<Bytes>) -> Option<StandInResponse> {
         let path = request.uri().path();
         if path == "/counters" {
-            return Some(answers::json(StatusCode::OK, &self.counters()));
+            return Some(responses::json(StatusCode::OK, &self.counters()));
         }
         if path != "/faults" {
             return None;
         }
         if request.method() == Method::DELETE {
             self.set_faults(PlatformFaults::default());
-            return Some(answers::status(StatusCode::OK));
+            return Some(responses::status(StatusCode::OK));
         }
         match serde_json::from_slice(request.body()) {
             Ok(faults) => {
                 self.set_faults(faults);
-                Some(answers::status(StatusCode::OK))
+                Some(responses::status(StatusCode::OK))
             }
-            Err(error) => Some(answers::bytes(StatusCode::BAD_REQUEST, error.to_string())),
+            Err(error) => Some(responses::bytes(StatusCode::BAD_REQUEST, error.to_string())),
         }
     }
 
-    fn throttle(&self, call: &ObjectCall) -> Option<StandInAnswer> {
+    fn throttle(&self, call: &ObjectCall) -> Option<StandInResponse> {
         let mut state = self.lock();
         let now = Instant::now();
         let limits = state.faults.limits;
-        let taken = match call.scope {
-            CallScope::Writes => state.writes.take(limits.writes_per_second, now),
+        let acquired = match call.scope {
+            CallScope::Writes => state.writes.try_acquire(limits.writes_per_second, now),
             CallScope::All | CallScope::Reads | CallScope::Watches => {
-                state.reads.take(limits.reads_per_second, now)
+                state.reads.try_acquire(limits.reads_per_second, now)
             }
         };
-        let retry_after_ms = taken.err()?;
+        let retry_after_ms = acquired.err()?;
         state.counters.throttled += 1;
-        Some(answers::retry_after(
+        Some(responses::retry_after(
             StatusCode::TOO_MANY_REQUESTS,
             retry_after_ms,
         ))
     }
 
-    fn fault_of(&self, call: &ObjectCall) -> Option<PlatformFault> {
+    fn choose_fault(&self, call: &ObjectCall) -> Option<PlatformFault> {
         let host = call.host();
         let mut state = self.lock();
         let age_ms = state.faults_since.elapsed().as_millis() as u64;
@@ -137,44 +137,44 @@
             .iter()
             .filter(|rule| rule.for_ms.is_none_or(|span| age_ms < span))
             .find(|rule| rule.matches(call.scope, &call.key, host))
-            .filter(|rule| self.chances.draw(rule.permille))
+            .filter(|rule| self.random.draw(rule.permille))
             .map(|rule| rule.fault)?;
         state.counters.faulted += 1;
         Some(fault)
     }
 
-    async fn answer_call(&self, call: ObjectCall) -> StandInAnswer {
+    async fn answer_call(&self, call: ObjectCall) -> StandInResponse {
         self.lock().counters.count(&call);
-        if let Some(answer) = self.throttle(&call) {
-            return answer;
+        if let Some(response) = self.throttle(&call) {
+            return response;
         }
-        let Some(fault) = self.fault_of(&call) else {
+        let Some(fault) = self.choose_fault(&call) else {
             return self.take_effect(call).await;
         };
         match fault {
-            PlatformFault::Close => StandInAnswer::Close,
+            PlatformFault::Close => StandInResponse::Close,
             PlatformFault::Unavailable { retry_after_ms } => {
-                answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, retry_after_ms)
+                responses::retry_after(StatusCode::SERVICE_UNAVAILABLE, retry_after_ms)
             }
             PlatformFault::Hang => std::future::pending().await,
             PlatformFault::LostAnswer => {
                 self.take_effect(call).await;
-                StandInAnswer::Close
+                StandInResponse::Close
             }
             PlatformFault::LateWrite { late_ms } => {
                 self.write_later(call, late_ms);
-                StandInAnswer::Close
+                StandInResponse::Close
             }
             PlatformFault::Delay { ms } => {
                 tokio::time::sleep(Duration::from_millis(ms)).await;
                 self.take_effect(call).await
             }
-            PlatformFault::Garbage => answers::bytes(StatusCode::OK, "garbage"),
+            PlatformFault::Garbage => responses::bytes(StatusCode::OK, "garbage"),
         }
     }
 
-    async fn take_effect(&self, call: ObjectCall) -> StandInAnswer {
-        match (call.many, call.scope) {
+    async fn take_effect(&self, call: ObjectCall) -> StandInResponse {
+        match (call.is_collection, call.scope) {
             (true, CallScope::Watches) => self.watch(&call).await,
             (true, _) => self.list(&call),
             (false, CallScope::Writes) => self.write(&call),
@@ -182,32 +182,32 @@
         }
     }
 
-    fn read(&self, call: &ObjectCall) -> StandInAnswer {
+    fn read(&self, call: &ObjectCall) -> StandInResponse {
         let mut state = self.lock();
         let Some(stored) = state.store.get(&call.key).cloned() else {
-            return answers::status(StatusCode::NOT_FOUND);
+            return responses::status(StatusCode::NOT_FOUND);
         };
         let value = stored.value.unwrap_or_default();
         state.counters.bytes_out += value.len() as u64;
-        with_version(answers::bytes(StatusCode::OK, value), stored.version)
+        with_version(responses::bytes(StatusCode::OK, value), stored.version)
     }
 
-    fn write(&self, call: &ObjectCall) -> StandInAnswer {
+    fn write(&self, call: &ObjectCall) -> StandInResponse {
         if call.body.len() > OBJECT_BYTES_MAX {
-            return answers::status(StatusCode::PAYLOAD_TOO_LARGE);
+            return responses::status(StatusCode::PAYLOAD_TOO_LARGE);
         }
         let Some(guard) = call.guard() else {
-            return answers::bytes(StatusCode::BAD_REQUEST, "a condition is required");
+            return responses::bytes(StatusCode::BAD_REQUEST, "a condition is required");
         };
         let value = call.written_value();
         let deletes = value.is_none();
         match change(&self.state, &self.revision, &call.key, value, guard) {
-            ChangeOutcome::Changed(_) if deletes => answers::status(StatusCode::NO_CONTENT),
+            ChangeOutcome::Changed(_) if deletes => responses::status(StatusCode::NO_CONTENT),
             ChangeOutcome::Changed(version) => {
-                with_version(answers::status(StatusCode::OK), version)
+                with_version(responses::status(StatusCode::OK), version)
             }
-            ChangeOutcome::Conflict => answers::status(StatusCode::PRECONDITION_FAILED),
-            ChangeOutcome::Missing => answers::status(StatusCode::NOT_FOUND),
+            ChangeOutcome::Conflict => responses::status(StatusCode::PRECONDITION_FAILED),
+            ChangeOutcome::Missing => responses::status(StatusCode::NOT_FOUND),
         }
     }
 
@@ -224,48 +224,49 @@
         });
     }
 
-    fn list(&self, call: &ObjectCall) -> StandInAnswer {
+    fn list(&self, call: &ObjectCall) -> StandInResponse {
         let mut state = self.lock();
         let page = state.store.list(&call.key, call.after.as_deref());
-        answer_page(
+        page_response(
             &mut state.counters,
             &page,
             |key, stored| json!({"key": key, "version": stored.version}),
         )
     }
 
-    async fn watch(&self, call: &ObjectCall) -> StandInAnswer {
+    async fn watch(&self, call: &ObjectCall) -> StandInResponse {
         let after = call.after.as_deref().and_then(|text| text.parse().ok());
         let Some(after) = after else {
-            return answers::bytes(StatusCode::BAD_REQUEST, "a revision is required");
+            return responses::bytes(StatusCode::BAD_REQUEST, "a revision is required");
         };
         let _waiting = WaitingWatch::new(Arc::clone(&self.state));
-        let changed = timeout(self.watch_wait, self.until_changed(&call.key, after));
+        let changed = timeout(self.watch_wait, self.wait_for_change(&call.key, after));
         let page = tokio::select! {
             changed = changed => changed,
-            () = self.until_faulty(call) => return StandInAnswer::Close,
+            () = self.wait_for_fault(call) => return StandInResponse::Close,
         };
         let page = page.unwrap_or_else(|_| self.lock().store.changed_after(&call.key, after));
         let mut state = self.lock();
-        answer_page(&mut state.counters, &page, |key, stored| {
+        page_response(&mut state.counters, &page, |key, stored| {
             let value = stored.value.as_ref().map(|bytes| BASE64.encode(bytes));
             json!({"key": key, "version": stored.version, "value": value})
         })
     }
 
-    /// An outage cuts the watches that wait when it begins, too.
-    async fn until_faulty(&self, call: &ObjectCall) {
-        let mut faults_set = self.faults_set.subscribe();
+    /// Waits until a new fault applies to a waiting watch: an outage also ends watches that began
+    /// before it.
+    async fn wait_for_fault(&self, call: &ObjectCall) {
+        let mut faults_changed = self.faults_changed.subscribe();
         loop {
-            // The sender lives as long as this service.
-            let _ = faults_set.changed().await;
-            if self.fault_of(call).is_some() {
+            // The channel stays open: its sender belongs to this service.
+            let _ = faults_changed.changed().await;
+            if self.choose_fault(call).is_some() {
                 return;
             }
         }
     }
 
-    async fn until_changed(&self, prefix: &str, after: u64) -> ObjectPage {
+    async fn wait_for_change(&self, prefix: &str, after: u64) -> ObjectPage {
         let mut revision = self.revision.subscribe();
         loop {
             revision.borrow_and_update();
@@ -273,20 +274,20 @@
             if !page.objects.is_empty() {
                 return page;
             }
-            // The sender lives as long as this service.
+            // The channel stays open: its sender belongs to this service.
             let _ = revision.changed().await;
         }
     }
 }
 
 impl StandInService for PlatformService {
-    async fn answer(&self, request: Request<Bytes>) -> StandInAnswer {
-        if let Some(answer) = self.control(&request) {
-            return answer;
+    async fn respond(&self, request: Request<Bytes>) -> StandInResponse {
+        if let Some(response) = self.control(&request) {
+            return response;
         }
         match ObjectCall::read(request) {
             Some(call) => self.answer_call(call).await,
-            None => answers::status(StatusCode::BAD_REQUEST),
+            None => responses::status(StatusCode::BAD_REQUEST),
         }
     }
 }
@@ -297,11 +298,11 @@
     }
 }
 
-fn answer_page(
+fn page_response(
     counters: &mut PlatformCounters,
     page: &ObjectPage,
     line: impl Fn(&str, &StoredValue) -> Value,
-) -> StandInAnswer {
+) -> StandInResponse {
     let objects: Vec<Value> = page
         .objects
         .iter()
@@ -309,15 +310,15 @@
         .collect();
     let body = json!({"revision": page.revision, "objects": objects}).to_string();
     counters.bytes_out += body.len() as u64;
-    answers::bytes(StatusCode::OK, body)
+    responses::bytes(StatusCode::OK, body)
 }
 
-fn with_version(answer: StandInAnswer, version: u64) -> StandInAnswer {
-    match answer {
-        StandInAnswer::Reply(mut response) => {
-            answers::set_header(&mut response, "etag", &format!("\"{version}\""));
-            StandInAnswer::Reply(response)
+fn with_version(original: StandInResponse, version: u64) -> StandInResponse {
+    match original {
+        StandInResponse::Reply(mut response) => {
+            responses::set_header(&mut response, "etag", &format!("\"{version}\""));
+            StandInResponse::Reply(response)
         }
-        StandInAnswer::Close => StandInAnswer::Close,
+        StandInResponse::Close => StandInResponse::Close,
     }
 }
--- a/crates/beechsaddle-lab/src/stand_in/platform/platform_state.rs
+++ b/crates/beechsaddle-lab/src/stand_in/platform/platform_state.rs
@@ -1,4 +1,4 @@
-//! The `platform_state` module provides what the platform stand-in knows.
+//! The `platform_state` module provides the shared state of the platform stand-in.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -13,7 +13,7 @@
 use super::platform_faults::{CallScope, PlatformFaults};
 use super::rate_limit::RateLimit;
 
-/// What the platform knows, behind one lock.
+/// The objects, counters, faults and rate limits of the stand-in, guarded by one lock.
 pub(super) struct PlatformState {
     pub(super) store: ObjectStore,
     pub(super) counters: PlatformCounters,
@@ -40,7 +40,7 @@
     /// Counts a call by its kind and prefix.
     pub(super) fn count(&mut self, call: &ObjectCall) {
         self.bytes_in += call.body.len() as u64;
-        let counter = match (call.scope, call.many) {
+        let counter = match (call.scope, call.is_collection) {
             (CallScope::Watches, _) => &mut self.watches,
             (_, true) => &mut self.lists,
             (CallScope::Writes, false) if call.method == Method::DELETE => &mut self.deletes,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Counts a watch as waiting until it is dropped, also when its client hangs up.
+/// Counts a watch as waiting until it is dropped, which also happens when its client disconnects.
 pub(super) struct WaitingWatch {
     state: Arc<Mutex<PlatformState>>,
 }
@@ -79,7 +79,7 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Changes an object and wakes the watches.
+/// Changes an object and wakes the waiting watches.
 pub(super) fn change(
     state: &Mutex<PlatformState>,
     revision: &watch::Sender<u64>,
--- a/crates/beechsaddle-lab/src/stand_in/platform/rate_limit.rs
+++ b/crates/beechsaddle-lab/src/stand_in/platform/rate_limit.rs
@@ -1,28 +1,28 @@
-//! The `rate_limit` module provides a limit of calls a second.
+//! The `rate_limit` module provides a rate limit in calls per second.
 
 use tokio::time::Instant;
 
-/// A bucket that holds one second's calls.
+/// A token bucket with a capacity of one second's calls.
 #[derive(Debug, Default)]
 pub struct RateLimit {
-    filled: Option<Instant>,
+    refilled_at: Option<Instant>,
     milli_calls: u64,
 }
 
 impl RateLimit {
-    /// Takes one call, or tells after how many milliseconds there will be one.
-    pub fn take(&mut self, per_second: Option<u32>, now: Instant) -> Result<(), u64> {
+    /// Admits one call, or returns the milliseconds until the next one is admitted.
+    pub fn try_acquire(&mut self, per_second: Option<u32>, now: Instant) -> Result<(), u64> {
         let Some(per_second) = per_second.map(u64::from) else {
             return Ok(());
         };
         let full = per_second * 1000;
-        let gained = match self.filled {
-            Some(filled) => (now - filled).as_millis() as u64 * per_second,
+        let refill = match self.refilled_at {
+            Some(refilled_at) => (now - refilled_at).as_millis() as u64 * per_second,
             None => full,
         };
-        if gained > 0 {
-            self.filled = Some(now);
-            self.milli_calls = (self.milli_calls + gained).min(full);
+        if refill > 0 {
+            self.refilled_at = Some(now);
+            self.milli_calls = (self.milli_calls + refill).min(full);
         }
         if self.milli_calls < 1000 {
             let missing = 1000 - self.milli_calls;
--- a/crates/beechsaddle-lab/src/stand_in/chance_source.rs
+++ b/crates/beechsaddle-lab/src/stand_in/random_source.rs
@@ -1,25 +1,24 @@
-//! The `chance_source` module provides seeded chances for faults.
+//! The `random_source` module provides seeded random draws for faults.
 
 use std::sync::{Mutex, PoisonError};
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Draws chances from a seed, so that a run can be repeated.
+/// A random number generator with a fixed seed, so that a run can be repeated.
 #[derive(Debug)]
-pub struct ChanceSource {
+pub struct RandomSource {
     generator: Mutex<ChaCha8Rng>,
 }
 
-impl ChanceSource {
-    /// Starts from a seed.
+impl RandomSource {
     pub fn new(seed: u64) -> Self {
-        ChanceSource {
+        RandomSource {
             generator: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
         }
     }
 
-    /// Whether an event of this many thousandths happens now.
+    /// Returns `true` with a probability in thousandths.
     pub fn draw(&self, permille: u32) -> bool {
         if permille >= 1000 {
             return true;
--- a/crates/beechsaddle-lab/src/stand_in/run_ledger.rs
+++ b/crates/beechsaddle-lab/src/stand_in/run_ledger.rs
@@ -1,34 +1,34 @@
-//! The `run_ledger` module provides the proof of what ran at a target.
+//! The `run_ledger` module provides the record of the requests that a target executed.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use serde::{Deserialize, Serialize};
 
-/// What ran at a target since its start.
+/// The requests that a target executed since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunReport {
-    /// How often each attempt ran.
+    /// Number of executions of each attempt.
     pub attempts: BTreeMap<String, u64>,
-    /// How often each idempotency key ran.
+    /// Number of executions of each idempotency key.
     pub keys: BTreeMap<String, u64>,
-    /// Runs that began.
+    /// Executions started.
     pub started: u64,
-    /// Runs whose answer was sent to its end.
+    /// Executions whose response was generated completely.
     pub completed: u64,
-    /// Runs that ended before: the client hung up, or a fault broke them off.
+    /// Executions that ended early because the client disconnected or a fault aborted them.
     pub cancelled: u64,
-    /// Tokens generated, also for answers that broke off.
+    /// Tokens generated, including those of aborted responses.
     pub tokens: u64,
 }
 
-/// Notes what runs.
+/// Records the requests that a target executes.
 #[derive(Clone, Debug, Default)]
 pub struct RunLedger {
     report: Arc<Mutex<RunReport>>,
 }
 
-/// One run; noted as cancelled when it is dropped before it is completed.
+/// One execution; dropping it before completion records it as cancelled.
 #[derive(Debug)]
 pub struct RunGuard {
     report: Arc<Mutex<RunReport>>,
@@ -36,7 +36,7 @@
 }
 
 impl RunLedger {
-    /// Notes that a request begins to run.
+    /// Records the start of an execution.
     pub fn start(&self, attempt: &str, key: &str) -> RunGuard {
         let mut report = lock(&self.report);
         report.started += 1;
@@ -50,24 +50,24 @@
         }
     }
 
-    /// What ran so far.
+    /// Returns a copy of the record.
     pub fn report(&self) -> RunReport {
         lock(&self.report).clone()
     }
 
-    /// How often a key ran.
+    /// Returns the number of executions of an idempotency key.
     pub fn key_runs(&self, key: &str) -> u64 {
         lock(&self.report).keys.get(key).copied().unwrap_or(0)
     }
 }
 
 impl RunGuard {
-    /// Notes a generated token.
+    /// Records a generated token.
     pub fn token(&self) {
         lock(&self.report).tokens += 1;
     }
 
-    /// Notes that the answer is whole.
+    /// Records that the response is complete.
     pub fn complete(mut self) {
         self.completed = true;
     }
--- a/crates/beechsaddle-lab/src/stand_in/stand_in_server.rs
+++ b/crates/beechsaddle-lab/src/stand_in/stand_in_server.rs
@@ -1,8 +1,8 @@
 //! The `stand_in_server` module provides the HTTP server that all stand-ins share.
 //!
-//! It stands on `hyper` and not on `volo-http`: a stand-in has to close a connection without an
-//! answer, break an answer off and refuse connections, and a `volo-http` handler can do none of
-//! these, since its errors become answers.
+//! It uses `hyper` instead of `volo-http`: a stand-in has to close connections without a response,
+//! abort responses and refuse connections. A `volo-http` handler can do none of these, since its
+//! errors become responses.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -31,28 +31,28 @@
 /// The largest request body that a stand-in reads, in bytes.
 const REQUEST_BYTES_MAX: usize = 8_000_000;
 
-/// How long a stand-in tries to get its port back after it refused connections.
+/// The pause between attempts to bind the port again after an outage.
 const REBIND_PAUSE: Duration = Duration::from_millis(5);
 
-/// The body of an answer; an error in it breaks the connection off.
-pub type AnswerBody = UnsyncBoxBody<Bytes, io::Error>;
+/// The body of a response; an error in it aborts the connection.
+pub type ResponseBody = UnsyncBoxBody<Bytes, io::Error>;
 
-/// What a stand-in does with a request.
+/// The reaction of a stand-in to a request.
 #[derive(Debug)]
-pub enum StandInAnswer {
-    /// It answers.
-    Reply(Response<AnswerBody>),
-    /// It closes the connection without an answer.
+pub enum StandInResponse {
+    /// Sends a response.
+    Reply(Response<ResponseBody>),
+    /// Closes the connection without a response.
     Close,
 }
 
-/// What makes one stand-in differ from another.
+/// The request handling of one kind of stand-in.
 pub trait StandInService: Send + Sync + 'static {
-    /// Answers a request. The future is dropped when the client hangs up.
-    fn answer(&self, request: Request<Bytes>) -> impl Future<Output = StandInAnswer> + Send;
+    /// Handles a request. The future is dropped when the client disconnects.
+    fn respond(&self, request: Request<Bytes>) -> impl Future<Output = StandInResponse> + Send;
 }
 
-/// A running stand-in; it stops when this is dropped.
+/// A running stand-in; dropping it stops the server.
 pub struct StandInServer {
     address: SocketAddr,
     stop: watch::Sender<bool>,
@@ -60,13 +60,13 @@
 }
 
 impl StandInServer {
-    /// Listens on `listen` and serves from a thread of its own.
+    /// Listens on `listen` and serves on a thread of its own.
     pub fn try_start(
         listen: SocketAddr,
         gate: ListenGate,
         service: Arc<impl StandInService>,
     ) -> eyre::Result<Self> {
-        // The listener is made without a runtime, so that tests may start stand-ins from within one.
+        // The listener is bound without a runtime, so that tests can start stand-ins inside one.
         let listener = std::net::TcpListener::bind(listen)
             .wrap_err_with(|| format!("cannot listen on {listen}"))?;
         listener.set_nonblocking(true)?;
@@ -75,7 +75,7 @@
         let thread = thread::Builder::new()
             .name("stand-in".to_owned())
             .spawn(move || run(listener, address, gate, service, stopped))
-            .wrap_err("cannot start a thread")?;
+            .wrap_err("cannot start the server thread")?;
         Ok(StandInServer {
             address,
             stop,
@@ -83,12 +83,12 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Waits until the server ends, which it does only when its process does.
+    /// Blocks until the server ends, which happens only when the process ends.
     pub fn join(mut self) {
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -145,12 +145,13 @@
         };
         tokio::select! {
             () = accept_all(open, Arc::clone(&service)) => {}
-            () = gate.until_closed() => {}
+            () = gate.wait_until_closed() => {}
             _ = stopped.changed() => return,
         }
-        // The listener and all connections are dropped here: clients see resets and refusals.
+        // The listener and all connections are dropped by now: clients see resets and refused
+        // connections.
         tokio::select! {
-            () = gate.until_open() => {}
+            () = gate.wait_until_open() => {}
             _ = stopped.changed() => return,
         }
         listener = rebind(address).await;
@@ -183,31 +184,31 @@
 }
 
 async fn serve_connection(stream: TcpStream, service: Arc<impl StandInService>) {
-    let answering = service_fn(move |request| answer(Arc::clone(&service), request));
-    // An error here is a client that hung up or a fault that was asked for.
+    let handler = service_fn(move |request| respond(Arc::clone(&service), request));
+    // Errors are expected here: a client disconnected, or a fault was injected.
     let _ = http1::Builder::new()
-        .serve_connection(TokioIo::new(stream), answering)
+        .serve_connection(TokioIo::new(stream), handler)
         .await;
 }
 
-async fn answer(
+async fn respond(
     service: Arc<impl StandInService>,
     request: Request<Incoming>,
-) -> io::Result<Response<AnswerBody>> {
+) -> io::Result<Response<ResponseBody>> {
     let (parts, body) = request.into_parts();
     let body = Limited::new(body, REQUEST_BYTES_MAX)
         .collect()
         .await
         .map_err(io::Error::other)?
         .to_bytes();
-    match service.answer(Request::from_parts(parts, body)).await {
-        StandInAnswer::Reply(response) => Ok(response),
-        StandInAnswer::Close => Err(io::Error::other("closed on purpose")),
+    match service.respond(Request::from_parts(parts, body)).await {
+        StandInResponse::Reply(response) => Ok(response),
+        StandInResponse::Close => Err(io::Error::other("connection closed by an injected fault")),
     }
 }
 
-/// Makes an answer body of bytes that are all there.
-pub fn whole_body(bytes: impl Into<Bytes>) -> AnswerBody {
+/// Returns a response body with all bytes available at once.
+pub fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     http_body_util::Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
--- a/crates/beechsaddle-lab/src/stand_in/target_control.rs
+++ b/crates/beechsaddle-lab/src/stand_in/target_control.rs
@@ -1,5 +1,5 @@
-//! The `target_control` module provides what engines and plain services have in common: the calls
-//! that set faults, that tell what ran, and that announce the target's leave.
+//! The `target_control` module provides the control calls that engines and plain services share: to
+//! set faults, to read the executed requests, and to announce that the target leaves.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -8,14 +8,14 @@
 
 use beechsaddle_core::members::HostState;
 
-use super::answers;
 use super::fault_picker::FaultPicker;
 use super::listen_gate::ListenGate;
+use super::responses;
 use super::run_ledger::RunLedger;
-use super::stand_in_server::StandInAnswer;
+use super::stand_in_server::StandInResponse;
 use super::target_faults::TargetFaults;
 
-/// The parts of a target that tests work on.
+/// The state of a target that control calls read and change.
 #[derive(Debug)]
 pub struct TargetControl {
     pub(super) faults: FaultPicker,
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Announces that the target leaves.
+    /// Reports the target as leaving from now on.
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the target serves.
+    /// Returns the state that health checks report: live or leaving.
     pub fn state(&self) -> HostState {
         if self.leaving.load(Ordering::Relaxed) {
             HostState::Leaving
@@ -46,36 +46,36 @@
         }
     }
 
-    /// Answers a request that is about the stand-in itself.
-    pub(super) fn answer(&self, request: &Request<Bytes>) -> Option<StandInAnswer> {
-        let answer = match (request.method(), request.uri().path()) {
+    /// Handles a control call; `None` for any other request.
+    pub(super) fn respond(&self, request: &Request<Bytes>) -> Option<StandInResponse> {
+        let response = match (request.method(), request.uri().path()) {
             (&Method::POST, "/faults") => self.set_faults(request.body()),
             (&Method::DELETE, "/faults") => {
                 self.faults.set(TargetFaults::default());
-                answers::status(StatusCode::OK)
+                responses::status(StatusCode::OK)
             }
-            (&Method::GET, "/ran") => answers::json(StatusCode::OK, &self.ledger.report()),
+            (&Method::GET, "/ran") => responses::json(StatusCode::OK, &self.ledger.report()),
             (&Method::POST, "/leave") => {
                 self.leave();
-                answers::status(StatusCode::OK)
+                responses::status(StatusCode::OK)
             }
             _ => return None,
         };
-        Some(answer)
+        Some(response)
     }
 
-    fn set_faults(&self, body: &[u8]) -> StandInAnswer {
+    fn set_faults(&self, body: &[u8]) -> StandInResponse {
         match serde_json::from_slice(body) {
             Ok(faults) => {
                 self.faults.set(faults);
-                answers::status(StatusCode::OK)
+                responses::status(StatusCode::OK)
             }
-            Err(error) => answers::bytes(StatusCode::BAD_REQUEST, error.to_string()),
+            Err(error) => responses::bytes(StatusCode::BAD_REQUEST, error.to_string()),
         }
     }
 }
 
-/// A header as text, empty when there is none.
+/// Returns a header as text, empty if it is missing or not text.
 pub(super) fn header_text(headers: &HeaderMap, name: &str) -> String {
     headers
         .get(name)
--- a/crates/beechsaddle-lab/src/stand_in/target_faults.rs
+++ b/crates/beechsaddle-lab/src/stand_in/target_faults.rs
@@ -1,42 +1,42 @@
-//! The `target_faults` module provides what can go wrong at an engine or a plain service.
+//! The `target_faults` module provides the faults that engines and plain services inject.
 
 use serde::{Deserialize, Serialize};
 
-/// Everything that is wrong at a target now; each `POST /faults` replaces it.
+/// All active faults of a target stand-in; each `POST /faults` replaces them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetFaults {
-    /// For how many milliseconds connections are refused.
+    /// How long connections are refused, in milliseconds.
     pub refuse_ms: u64,
-    /// Rules; the first that matches a request applies.
+    /// Fault rules; the first rule that matches a request applies.
     pub rules: Vec<TargetRule>,
 }
 
-/// A fault and the requests that it hits.
+/// A fault and the requests that it applies to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetRule {
-    /// Only requests of this kind.
+    /// Restricts the rule to requests of this kind.
     #[serde(default)]
     pub scope: TargetScope,
-    /// The share of these requests that is hit, in thousandths.
+    /// The share of matching requests that fail, in thousandths.
     #[serde(default = "always")]
     pub permille: u32,
-    /// How many requests are hit before the rule ends; without end when absent.
+    /// How many requests fail before the rule ends; unlimited when absent.
     #[serde(default)]
     pub count: Option<u32>,
-    /// How long the rule holds, in milliseconds; without end when absent.
+    /// How long the rule applies, in milliseconds; unlimited when absent.
     #[serde(default)]
     pub for_ms: Option<u64>,
-    /// What happens.
+    /// The fault to inject.
     pub fault: TargetFault,
 }
 
-/// Which requests a rule is about.
+/// The kinds of requests that a rule applies to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetScope {
-    /// Calls that routers pass on.
+    /// Calls that routers forward.
     #[default]
     Calls,
     /// `GET /health`.
@@ -47,39 +47,39 @@
     Orders,
 }
 
-/// What happens to a request.
+/// What happens to a request that a rule matches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum TargetFault {
-    /// The answer breaks off after this many tokens; that of a plain service in its middle.
+    /// The response is aborted after this many tokens; that of a plain service after half its body.
     DieAfter {
-        /// How many tokens come before.
+        /// The number of tokens sent before.
         tokens: u64,
     },
-    /// The request runs, and no answer ever comes.
+    /// The request is executed but never answered.
     Hang,
-    /// The request runs and is answered with 500.
+    /// The request is executed and answered with 500.
     ServerError,
-    /// The request does not run and is answered with 503.
+    /// The request is not executed and answered with 503.
     Busy {
-        /// When to come back, in milliseconds.
+        /// The delay that the response asks for, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The answer comes this much later.
+    /// The response is delayed.
     Late {
-        /// How much, in milliseconds.
+        /// The delay in milliseconds.
         ms: u64,
     },
-    /// The answer is that to another attempt.
+    /// The response names another attempt.
     WrongAttempt,
-    /// The request runs and the connection closes without an answer.
+    /// The request is executed and the connection closes without a response.
     CloseAfterRead,
-    /// The answer is not what the protocol says.
+    /// The response body does not conform to the protocol.
     Garbage,
 }
 
 impl TargetRule {
-    /// A rule that hits every call, without end.
+    /// Returns a rule that applies to every call, without a limit.
     pub fn all(fault: TargetFault) -> Self {
         TargetRule {
             scope: TargetScope::Calls,
