--- a/crates/beechsaddle-lab/src/demo/demo_calls.rs
+++ b/crates/beechsaddle-lab/src/demo/demo_calls.rs
@@ -6,13 +6,13 @@
 use serde_json::{Value, json};
 
 use super::demo_fleet::{CALL_COST, KEY, MODEL, PLAIN_SERVICE};
-use crate::fleet::{CallerAnswer, FleetCaller, LabFleet, chat_body};
+use crate::fleet::{CallerResponse, FleetCaller, LabFleet, chat_body};
 use crate::stand_in::{ChatProof, PlainEcho};
 
-/// The key of the call that may not be repeated.
+/// Idempotency key of the call that must not be repeated.
 pub const CLAIM_KEY: &str = "claim-crate-17";
 
-/// Sends the calls.
+/// Sends the calls of the demonstration and checks their responses.
 #[derive(Debug)]
 pub struct DemoCalls<'a> {
     fleet: &'a LabFleet,
@@ -20,23 +20,23 @@
     answers: SentCalls,
 }
 
-/// What came of the calls.
+/// The outcome of the calls.
 #[derive(Debug, Default)]
 pub struct SentCalls {
-    /// Calls that got their own whole answer.
+    /// Number of calls with a complete response of their own.
     pub answered: u64,
-    /// Calls that were refused.
+    /// Number of refused calls.
     pub refused: u64,
-    /// How many keys have to be billed.
+    /// Number of keys that must be billed.
     pub bills: u64,
-    /// What has to be billed, in tokens.
+    /// Number of tokens that must be billed.
     pub tokens: u64,
-    /// What was not as it must be.
+    /// Failed checks.
     pub findings: Vec<String>,
 }
 
 impl<'a> DemoCalls<'a> {
-    /// Prepares the calls to a fleet.
+    /// Creates the calls to a fleet.
     pub fn new(fleet: &'a LabFleet) -> Self {
         DemoCalls {
             fleet,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Sends all calls, one after the other, and prints their answers.
+    /// Sends all calls one after the other and prints their responses.
     pub async fn send_all(mut self) -> eyre::Result<SentCalls> {
         self.send_chat("rijeka-1").await?;
         self.send_plain("split-1").await?;
@@ -62,9 +62,9 @@
         let proof = answer.chat_content().as_deref().and_then(ChatProof::read);
         let prompt = ChatProof::prompt_hash(format!("user\n{text}\n"));
         match proof {
-            Some(proof) if proof.prompt == prompt => self.note_answer(usage_of(&answer)),
-            Some(proof) => self.find(format!("the chat got the answer to another: {proof}")),
-            None => self.find(format!("the chat got no whole answer: {}", answer.status)),
+            Some(proof) if proof.prompt == prompt => self.record_answer(usage_of(&answer)),
+            Some(proof) => self.add_finding(format!("chat got another call's response: {proof}")),
+            None => self.add_finding(format!("chat got no complete response: {}", answer.status)),
         }
         Ok(())
     }
@@ -78,12 +78,12 @@
         let sent = body.to_string();
         match serde_json::from_str::<PlainEcho>(&answer.body) {
             Ok(echo) if echo.path == "/pickups" && echo.body == sent => {
-                self.note_answer(CALL_COST);
+                self.record_answer(CALL_COST);
             }
-            Ok(echo) => self.find(format!(
-                "the plain call got the answer to another: {echo:?}"
+            Ok(echo) => self.add_finding(format!(
+                "plain call got the response of another call: {echo:?}"
             )),
-            Err(_) => self.find(format!("the plain call got no answer: {}", answer.status)),
+            Err(_) => self.add_finding(format!("plain call got no response: {}", answer.status)),
         }
         Ok(())
     }
@@ -104,13 +104,13 @@
         let echo = serde_json::from_str::<PlainEcho>(&answer.body).ok();
         let runs = echo.map(|echo| echo.runs);
         match (again, runs, answer.refusal().as_deref()) {
-            (false, Some(1), _) => self.note_answer(CALL_COST),
-            // The outcome of the one run may be told again; it is not billed again.
+            (false, Some(1), _) => self.record_answer(CALL_COST),
+            // The recorded outcome of the single run may be returned again; it is not billed again.
             (true, Some(1), _) => self.answers.answered += 1,
             (true, None, Some("already_answered" | "already_dispatched")) => {
                 self.answers.refused += 1;
             }
-            (_, _, _) => self.find(format!("{name} got {}: {}", answer.status, answer.body)),
+            (_, _, _) => self.add_finding(format!("{name} got {}: {}", answer.status, answer.body)),
         }
         Ok(())
     }
@@ -120,7 +120,7 @@
         name: &str,
         router: &str,
         request: Request<Full<Bytes>>,
-    ) -> eyre::Result<CallerAnswer> {
+    ) -> eyre::Result<CallerResponse> {
         let address = self.fleet.call_address(router)?;
         let answer = self.caller.send(&address, request).await?;
         let call = answer.headers.get("beechsaddle-call");
@@ -136,13 +136,13 @@
         Ok(answer)
     }
 
-    fn note_answer(&mut self, tokens: u64) {
+    fn record_answer(&mut self, tokens: u64) {
         self.answers.answered += 1;
         self.answers.bills += 1;
         self.answers.tokens += tokens;
     }
 
-    fn find(&mut self, finding: String) {
+    fn add_finding(&mut self, finding: String) {
         self.answers.findings.push(finding);
     }
 }
@@ -158,8 +158,8 @@
     Ok(request.body(Full::new(Bytes::from(body.to_string())))?)
 }
 
-/// The tokens that a chat used, by its last event with a usage.
-fn usage_of(answer: &CallerAnswer) -> u64 {
+/// Returns the token usage of a chat from its last event that reports usage.
+fn usage_of(answer: &CallerResponse) -> u64 {
     let events = answer
         .body
         .lines()
--- a/crates/beechsaddle-lab/src/demo/demo_fleet.rs
+++ b/crates/beechsaddle-lab/src/demo/demo_fleet.rs
@@ -1,4 +1,4 @@
-//! The `demo_fleet` module provides what the demonstration's fleet is made of.
+//! The `demo_fleet` module provides the fleet and catalogue of the demonstration.
 
 use std::path::PathBuf;
 
@@ -8,24 +8,25 @@
 
 use crate::fleet::{FleetPlan, RouterPlan, TargetPlan};
 
-/// The workspace that calls.
+/// The workspace of all calls.
 pub const WORKSPACE: &str = "zadruga";
-/// Its key. The catalogue has only the digest of it.
+/// Its API key, of which the catalogue holds only the digest.
 pub const KEY: &str = "zadruga-demo-key";
-/// Its budget.
+/// The budget that all calls are billed to.
 pub const BUDGET: &str = "zadruga-2026";
-/// What was paid into the budget, in tokens.
+/// The top-up of the budget in tokens.
 pub const TOP_UP: u64 = 100_000;
 /// The service of the engines.
 pub const ENGINE_SERVICE: &str = "pomocnik";
-/// The plain service.
+/// The service of plain calls.
 pub const PLAIN_SERVICE: &str = "trznica";
-/// What a call to the plain service costs, in tokens.
+/// The cost of a call to the plain service in tokens.
 pub const CALL_COST: u64 = 25;
 /// The model of the engines.
 pub const MODEL: &str = "small";
 
-/// The fleet: two domains with two routers and an engine each, and a plain service in the first.
+/// Returns a fleet of two domains with two routers and an engine each, and a plain service in the
+/// first domain.
 pub fn plan(program: PathBuf) -> FleetPlan {
     let (split, rijeka) = ("split-hala", "rijeka-hala");
     FleetPlan {
@@ -47,12 +48,12 @@
     }
 }
 
-/// The catalogue as an operator writes it.
+/// Returns the catalogue as an operator writes it.
 pub fn catalogue() -> String {
     catalogue_with_top_ups(&[("first", TOP_UP)])
 }
 
-/// The same with other top-ups.
+/// Returns the catalogue with other top-ups, given as ids and tokens.
 pub fn catalogue_with_top_ups(top_ups: &[(&str, u64)]) -> String {
     let top_ups: String = top_ups
         .iter()
@@ -95,7 +96,7 @@
     )
 }
 
-/// The digest of a workspace's key as it stands in a catalogue.
+/// Returns the digest of a workspace's key in the format of the catalogue.
 pub fn key_digest(key: &str) -> String {
     let digest = Sha256::digest(key.as_bytes());
     let digits: String = digest.iter().map(|byte| format!("{byte:02x}")).collect();
--- a/crates/beechsaddle-lab/src/demo/demo_stay.rs
+++ b/crates/beechsaddle-lab/src/demo/demo_hints.rs
@@ -1,9 +1,9 @@
-//! The `demo_stay` module provides what to try on a fleet that stays up.
+//! The `demo_hints` module provides example commands for a fleet that keeps running.
 
 use super::demo_fleet::{KEY, MODEL, PLAIN_SERVICE};
 use crate::fleet::LabFleet;
 
-/// Prints the addresses, and calls to try.
+/// Prints the addresses of the fleet and example commands.
 pub fn print_hints(fleet: &LabFleet) {
     println!("platform={}", fleet.platform());
     for (host, target) in fleet.targets() {
--- a/crates/beechsaddle-lab/src/demo/demo_outcome.rs
+++ b/crates/beechsaddle-lab/src/demo/demo_outcome.rs
@@ -1,4 +1,4 @@
-//! The `demo_outcome` module provides the judgement on the demonstration.
+//! The `demo_outcome` module provides the checks and the result of the demonstration.
 
 use std::fmt;
 
@@ -7,28 +7,28 @@
 use crate::fleet::{FleetCaller, LabFleet};
 use crate::stand_in::RunReport;
 
-/// What the demonstration showed.
+/// The result of the demonstration.
 #[derive(Clone, Debug)]
 pub struct DemoOutcome {
     answered: u64,
     refused: u64,
     billed: u64,
     overspend: u64,
-    /// What was not as it must be.
+    /// Failed checks.
     pub findings: Vec<String>,
 }
 
 impl DemoOutcome {
-    /// Holds the answers, what ran, and the statement against each other.
-    pub async fn judge(
+    /// Compares the responses, the runs at the targets and the statement with each other.
+    pub async fn evaluate(
         fleet: &LabFleet,
         calls: &SentCalls,
         statement: &DemoStatement,
     ) -> eyre::Result<Self> {
         let mut findings = calls.findings.clone();
-        let mut expect = |what: &str, found: u64, wanted: u64| {
-            if found != wanted {
-                findings.push(format!("{what} is {found} and not {wanted}"));
+        let mut expect = |what: &str, found: u64, expected: u64| {
+            if found != expected {
+                findings.push(format!("{what}: expected {expected}, found {found}"));
             }
         };
         expect("calls with an end", calls.answered + calls.refused, 4);
--- a/crates/beechsaddle-lab/src/demo/demo_statement.rs
+++ b/crates/beechsaddle-lab/src/demo/demo_statement.rs
@@ -9,20 +9,20 @@
 use super::demo_fleet::WORKSPACE;
 use crate::fleet::LabFleet;
 
-/// How long bills may take into the ledger.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long bills may take to reach the ledger.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How often the ledger is read meanwhile.
-const PAUSE: Duration = Duration::from_millis(100);
+/// The time between two reads of the ledger.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What `beechsaddle statement` says of the workspace.
+/// The statement of the workspace, as `beechsaddle statement` prints it.
 #[derive(Clone, Debug)]
 pub struct DemoStatement {
     statement: WorkspaceStatement,
 }
 
 impl DemoStatement {
-    /// Waits until the ledger has as many bills as are due, or says what it has after a while.
+    /// Waits until the ledger has `bills` bills, or until the timeout, and returns the statement.
     pub async fn wait(fleet: &LabFleet, bills: u64) -> eyre::Result<Self> {
         let client = fleet.platform_client()?;
         let workspace = WorkspaceName::new(WORKSPACE);
@@ -30,30 +30,30 @@
         loop {
             let statement = WorkspaceStatement::read(&client, &workspace, false).await?;
             let statement = DemoStatement { statement };
-            if statement.bills() >= bills || started.elapsed() > PATIENCE {
+            if statement.bills() >= bills || started.elapsed() > SETTLE_TIMEOUT {
                 return Ok(statement);
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// How many bills there are.
+    /// Returns the number of bills.
     pub fn bills(&self) -> u64 {
         self.statement.budgets.iter().map(|line| line.bills).sum()
     }
 
-    /// What was billed, in tokens.
+    /// Returns the billed tokens.
     pub fn settled(&self) -> u64 {
         self.statement.budgets.iter().map(|line| line.settled).sum()
     }
 
-    /// What was written off, in tokens.
+    /// Returns the tokens that were written off.
     pub fn written_off(&self) -> u64 {
         let lines = self.statement.budgets.iter();
         lines.map(|line| line.written_off).sum()
     }
 
-    /// By how much any budget was spent or granted above what was paid in.
+    /// Returns the tokens that were spent or granted beyond the balance, summed over the budgets.
     pub fn overspend(&self) -> u64 {
         let lines = self.statement.budgets.iter();
         lines
--- a/crates/beechsaddle-lab/src/demo/mod.rs
+++ b/crates/beechsaddle-lab/src/demo/mod.rs
@@ -1,14 +1,14 @@
-//! The `demo` module provides the demonstration of a whole small fleet on one machine.
+//! The `demo` module provides a demonstration of a complete small fleet on one machine.
 //!
 //! It starts a platform, two engines, a plain service and four routers in two failure domains, all
-//! as processes of their own on loopback, sends a few calls, and holds the answers, what ran at the
-//! targets, and the statement against each other.
+//! as separate processes on loopback, sends a few calls, and compares the responses, the runs at
+//! the targets and the statement with each other.
 
 mod demo_calls;
 pub mod demo_fleet;
+mod demo_hints;
 mod demo_outcome;
 mod demo_statement;
-mod demo_stay;
 
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use eyre::WrapErr;
@@ -18,7 +18,7 @@
 use demo_outcome::DemoOutcome;
 use demo_statement::DemoStatement;
 
-/// Describes the `demo` subcommand.
+/// Returns the `demo` subcommand.
 pub fn command() -> Command {
     Command::new("demo")
         .about("Starts a small fleet, sends a few calls and checks the bills")
@@ -34,12 +34,12 @@
 ///
 /// # Errors
 ///
-/// When the fleet does not start, or anything is not as it must be.
+/// Returns an error if the fleet does not start, or if a check fails.
 pub fn run(matches: &ArgMatches) -> eyre::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .wrap_err("cannot make a runtime")?;
+        .wrap_err("cannot create a runtime")?;
     runtime.block_on(run_demo(matches.get_flag("stay")))
 }
 
@@ -49,9 +49,9 @@
     let calls = DemoCalls::new(&fleet).send_all().await?;
     let statement = DemoStatement::wait(&fleet, calls.bills).await?;
     println!("{statement}");
-    let outcome = DemoOutcome::judge(&fleet, &calls, &statement).await?;
+    let outcome = DemoOutcome::evaluate(&fleet, &calls, &statement).await?;
     if stay {
-        demo_stay::print_hints(&fleet);
+        demo_hints::print_hints(&fleet);
         tokio::signal::ctrl_c().await?;
     }
     for finding in &outcome.findings {
--- a/crates/beechsaddle-lab/src/fleet/fleet_caller.rs
+++ b/crates/beechsaddle-lab/src/fleet/fleet_caller.rs
@@ -1,4 +1,4 @@
-//! The `fleet_caller` module provides a caller that sends single calls and shows their answers.
+//! The `fleet_caller` module provides a caller that sends single calls and returns their responses.
 
 use bytes::Bytes;
 use eyre::WrapErr;
@@ -10,52 +10,49 @@
 
 use crate::load::{HttpClient, SseLines};
 
-/// Sends single calls.
+/// A client for single calls.
 #[derive(Debug, Default)]
 pub struct FleetCaller {
     client: HttpClient,
 }
 
-/// An answer that was read to its end.
+/// A complete response.
 #[derive(Clone, Debug)]
-pub struct CallerAnswer {
-    /// Its status.
+pub struct CallerResponse {
     pub status: StatusCode,
-    /// Its headers.
     pub headers: HeaderMap,
-    /// Its body.
     pub body: String,
 }
 
 impl FleetCaller {
-    /// A caller without connections.
+    /// Creates a caller without connections.
     pub fn new() -> Self {
         FleetCaller::default()
     }
 
-    /// Sends a request and reads its answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// When the connection breaks before the answer is whole.
+    /// Returns an error if the connection is lost before the response is complete.
     pub async fn send(
         &self,
         address: &str,
         request: Request<Full<Bytes>>,
-    ) -> eyre::Result<CallerAnswer> {
+    ) -> eyre::Result<CallerResponse> {
         let (response, connection) = self
             .client
             .send(address, request)
             .await
-            .wrap_err_with(|| format!("no answer from {address}"))?;
+            .wrap_err_with(|| format!("no response from {address}"))?;
         let (parts, body) = response.into_parts();
         let body = body
             .collect()
             .await
-            .wrap_err_with(|| format!("the answer of {address} broke off"))?
+            .wrap_err_with(|| format!("the response of {address} was truncated"))?
             .to_bytes();
-        self.client.give_back(address, connection);
-        Ok(CallerAnswer {
+        self.client.release_connection(address, connection);
+        Ok(CallerResponse {
             status: parts.status,
             headers: parts.headers,
             body: String::from_utf8_lossy(&body).into_owned(),
@@ -69,16 +66,16 @@
             .send(address, request.body(Full::new(Bytes::new()))?)
             .await?;
         serde_json::from_str(&answer.body)
-            .wrap_err_with(|| format!("{address}{path} gave {:?}", answer.body))
+            .wrap_err_with(|| format!("{address}{path} returned {:?}", answer.body))
     }
 
-    /// Posts JSON, as to the faults of a stand-in.
+    /// Posts JSON, for example to the `/faults` page of a stand-in.
     pub async fn post(
         &self,
         address: &str,
         path: &str,
         value: &impl Serialize,
-    ) -> eyre::Result<CallerAnswer> {
+    ) -> eyre::Result<CallerResponse> {
         let body = serde_json::to_vec(value)?;
         let request = Request::post(path)
             .header("host", address)
@@ -88,16 +85,16 @@
     }
 }
 
-impl CallerAnswer {
-    /// The body as JSON; null when it is none.
+impl CallerResponse {
+    /// Returns the body as JSON, or null if it is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_default()
     }
 
-    /// The text of a chat answer, streamed or whole; `None` unless its end is there.
+    /// Returns the text of a chat response, streamed or buffered, or `None` if its end is missing.
     pub fn chat_content(&self) -> Option<String> {
-        if let Ok(whole) = serde_json::from_str::<Value>(&self.body) {
-            let content = &whole["choices"][0]["message"]["content"];
+        if let Ok(value) = serde_json::from_str::<Value>(&self.body) {
+            let content = &value["choices"][0]["message"]["content"];
             return content.as_str().map(str::to_owned);
         }
         let mut lines = SseLines::default();
@@ -114,14 +111,14 @@
         None
     }
 
-    /// The reason of a refusal.
+    /// Returns the reason of a refusal.
     pub fn refusal(&self) -> Option<String> {
         let body = self.json();
         body["error"]["reason"].as_str().map(str::to_owned)
     }
 }
 
-/// The body of a chat with one message; a streamed one asks for its usage.
+/// Returns the request body of a chat with one message. A streamed chat requests its usage.
 pub fn chat_body(model: &str, text: &str, streamed: bool, max_tokens: u64) -> Value {
     let mut body = json!({
         "model": model,
--- a/crates/beechsaddle-lab/src/fleet/fleet_plan.rs
+++ b/crates/beechsaddle-lab/src/fleet/fleet_plan.rs
@@ -1,53 +1,46 @@
-//! The `fleet_plan` module provides what a fleet is made of.
+//! The `fleet_plan` module provides the description of a fleet of processes.
 
 use std::path::PathBuf;
 
 use beechsaddle_core::catalogue::ServiceKind;
 use beechsaddle_core::names::{DomainName, HostName, ServiceName};
 
-/// What a fleet is made of.
+/// The routers, targets, catalogue and settings of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// The lab's own program.
+    /// Path of the lab's binary.
     pub program: PathBuf,
-    /// The region that the domains are in.
+    /// The region of the domains.
     pub region: String,
-    /// The routers.
     pub routers: Vec<RouterPlan>,
-    /// The targets.
     pub targets: Vec<TargetPlan>,
-    /// The catalogue, as an operator writes it.
+    /// The catalogue file, as TOML.
     pub catalogue: String,
-    /// Tables that go into the settings of each router.
+    /// TOML tables that are merged into the settings of each router.
     pub settings: String,
 }
 
-/// One router.
+/// A router to start.
 #[derive(Clone, Debug)]
 pub struct RouterPlan {
-    /// Its host.
     pub host: HostName,
-    /// Its domain.
     pub domain: DomainName,
 }
 
-/// One target.
+/// A target to start.
 #[derive(Clone, Debug)]
 pub struct TargetPlan {
-    /// Its host.
     pub host: HostName,
-    /// Its domain.
     pub domain: DomainName,
-    /// Its service.
     pub service: ServiceName,
-    /// What it is.
+    /// The kind of its service.
     pub kind: ServiceKind,
-    /// Further arguments of its stand-in.
+    /// Additional command-line arguments of its stand-in.
     pub arguments: Vec<String>,
 }
 
 impl RouterPlan {
-    /// A router on a host of a domain.
+    /// Creates a router on a host of a domain.
     pub fn new(host: impl Into<HostName>, domain: impl Into<DomainName>) -> Self {
         RouterPlan {
             host: host.into(),
@@ -57,7 +50,7 @@
 }
 
 impl TargetPlan {
-    /// A target without further arguments.
+    /// Creates a target without additional arguments.
     pub fn new(
         host: impl Into<HostName>,
         domain: impl Into<DomainName>,
@@ -73,7 +66,7 @@
         }
     }
 
-    /// Adds arguments of its stand-in.
+    /// Adds command-line arguments of its stand-in.
     #[must_use]
     pub fn with_arguments(mut self, arguments: &[&str]) -> Self {
         let arguments = arguments.iter().map(|text| (*text).to_owned());
@@ -81,7 +74,7 @@
         self
     }
 
-    /// The name of its stand-in.
+    /// Returns the subcommand of its stand-in.
     pub(super) fn stand_in(&self) -> &'static str {
         match self.kind {
             ServiceKind::Engine => "engine",
--- a/crates/beechsaddle-lab/src/fleet/host_lists.rs
+++ b/crates/beechsaddle-lab/src/fleet/host_lists.rs
@@ -1,4 +1,4 @@
-//! The `host_lists` module provides the platform's host lists of a fleet.
+//! The `host_lists` module provides the host lists that the platform stores for a fleet.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use super::lab_target::LabTarget;
 use super::router_file::RouterFile;
 
-/// The list of each domain.
+/// Returns the host list of each domain.
 pub(super) fn host_lists<'a>(
     routers: impl Iterator<Item = &'a RouterFile>,
     targets: impl Iterator<Item = &'a LabTarget>,
@@ -43,12 +43,12 @@
         address: target.address.to_string(),
         role: HostRole::Target {
             service: target.plan.service.clone(),
-            checks_fence: !target.plan.arguments.iter().any(is_ignores_fence),
+            checks_fence: !target.plan.arguments.iter().any(ignores_fence),
         },
         state: target.state,
     }
 }
 
-fn is_ignores_fence(argument: impl AsRef<str>) -> bool {
+fn ignores_fence(argument: impl AsRef<str>) -> bool {
     argument.as_ref() == "--ignores-fence"
 }
--- a/crates/beechsaddle-lab/src/fleet/lab_fleet.rs
+++ b/crates/beechsaddle-lab/src/fleet/lab_fleet.rs
@@ -1,4 +1,4 @@
-//! The `lab_fleet` module provides a running fleet.
+//! The `lab_fleet` module provides a running fleet of processes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,21 +21,21 @@
 use super::host_lists::host_lists;
 use super::lab_process::LabProcess;
 use super::lab_target::LabTarget;
-use super::operator_part::{apply_catalogue, write_hosts};
-use super::router_file::{FleetCommons, RouterFile};
+use super::operator_actions::{apply_catalogue, write_hosts};
+use super::router_file::{FleetSettings, RouterFile};
 use super::scratch_directory::ScratchDirectory;
 
-/// How often a router that is to become ready is asked.
-const READY_PAUSE: Duration = Duration::from_millis(20);
+/// The time between two readiness checks of a router.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long a router may take to become ready.
-pub const READY_PATIENCE: Duration = Duration::from_secs(15);
+pub const READY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A running fleet of processes; all end when this is dropped.
+/// A running fleet of processes, all of which are killed on drop.
 #[derive(Debug)]
 pub struct LabFleet {
     plan: FleetPlan,
-    commons: FleetCommons,
+    settings: FleetSettings,
     directory: ScratchDirectory,
     routers: BTreeMap<HostName, LabRouter>,
     targets: BTreeMap<HostName, LabTarget>,
@@ -43,27 +43,26 @@
     _platform: LabProcess,
 }
 
-/// A router of the fleet.
 #[derive(Debug)]
 pub struct LabRouter {
-    /// Where it listens.
+    /// The settings file with its addresses.
     pub file: RouterFile,
-    /// Whether the platform lists its host.
+    /// Whether its host is on the platform's host list.
     pub is_listed: bool,
-    /// Its process, unless it was killed.
+    /// Its process; `None` before the start and after a kill.
     pub process: Option<LabProcess>,
 }
 
 impl LabFleet {
-    /// Starts the stand-ins, declares the catalogue and the hosts, starts the routers, and waits
-    /// until they take calls.
+    /// Starts the stand-ins, writes the host lists and the catalogue, starts the routers, and waits
+    /// until they are ready.
     ///
     /// # Errors
     ///
-    /// When a process does not start or the catalogue has findings.
+    /// Returns an error if a process does not start, or if the catalogue is invalid.
     pub async fn try_start(plan: FleetPlan) -> eyre::Result<Self> {
         let (platform, address) = LabProcess::try_start_stand_in(&plan.program, ["platform"])?;
-        let commons = FleetCommons {
+        let settings = FleetSettings {
             region: plan.region.clone(),
             platform: address,
             secret: random_secret(),
@@ -76,7 +75,7 @@
             base: BaseFile::default(),
             _platform: platform,
             plan,
-            commons,
+            settings,
         };
         fleet.start_targets()?;
         fleet.plan_routers()?;
@@ -87,66 +86,65 @@
             fleet.start_router(host.as_str())?;
         }
         for host in &hosts {
-            fleet.wait_ready(host.as_str(), READY_PATIENCE).await?;
+            fleet.wait_ready(host.as_str(), READY_TIMEOUT).await?;
         }
         Ok(fleet)
     }
 
-    /// Where the platform listens.
+    /// Returns the address of the platform.
     pub fn platform(&self) -> SocketAddr {
-        self.commons.platform
+        self.settings.platform
     }
 
-    /// A client of the platform, as an operator has it.
+    /// Creates an operator's client of the platform.
     pub fn platform_client(&self) -> eyre::Result<PlatformClient> {
         PlatformClient::try_new(&PlatformOptions::new(self.platform()), None)
     }
 
-    /// Applies a catalogue, edited from the one before.
+    /// Applies a catalogue, with the previously applied one as its base.
     pub async fn apply_catalogue(&mut self, text: &str) -> eyre::Result<()> {
         let client = self.platform_client()?;
         self.base = apply_catalogue(&client, text, self.base.clone()).await?;
         Ok(())
     }
 
-    /// All routers.
+    /// Returns all routers by host.
     pub fn routers(&self) -> &BTreeMap<HostName, LabRouter> {
         &self.routers
     }
 
-    /// All targets.
+    /// Returns all targets by host.
     pub fn targets(&self) -> &BTreeMap<HostName, LabTarget> {
         &self.targets
     }
 
-    /// A router.
     pub fn router(&self, host: &str) -> eyre::Result<&LabRouter> {
         self.routers
             .get(host)
             .ok_or_else(|| eyre!("there is no router {host}"))
     }
 
-    /// Where a router takes calls.
+    /// Returns the call address of a router.
     pub fn call_address(&self, host: &str) -> eyre::Result<String> {
         Ok(self.router(host)?.file.call_address.to_string())
     }
 
-    /// Where a target listens.
+    /// Returns the address of a target.
     pub fn target_address(&self, host: &str) -> eyre::Result<String> {
         let target = self.targets.get(host);
         let target = target.ok_or_else(|| eyre!("there is no target {host}"))?;
         Ok(target.address.to_string())
     }
 
-    /// The process of a router that runs.
+    /// Returns the process of a running router.
     pub fn process(&mut self, host: &str) -> eyre::Result<&mut LabProcess> {
         self.routers
             .get_mut(host)
             .and_then(|router| router.process.as_mut())
-            .ok_or_else(|| eyre!("router {host} does not run"))
+            .ok_or_else(|| eyre!("router {host} is not running"))
     }
 
-    /// Kills a router, with everything that it knows.
+    /// Kills a router, which loses its state in memory.
     pub fn kill_router(&mut self, host: &str) -> eyre::Result<()> {
         self.process(host)?.kill()?;
         if let Some(router) = self.routers.get_mut(host) {
@@ -155,7 +153,7 @@
         Ok(())
     }
 
-    /// Starts a router that does not run, as another incarnation at the same addresses.
+    /// Starts a router that is not running, as a new incarnation at the same addresses.
     pub fn start_router(&mut self, host: &str) -> eyre::Result<()> {
         let files: Vec<RouterFile> = self
             .routers
@@ -168,7 +166,7 @@
             .routers
             .get_mut(host)
             .ok_or_else(|| eyre!("there is no router {host}"))?;
-        let text = router.file.try_text(&self.commons, &files)?;
+        let text = router.file.try_text(&self.settings, &files)?;
         std::fs::write(&settings, text)
             .wrap_err_with(|| format!("cannot write {}", settings.display()))?;
         let process = LabProcess::try_start_router(&self.plan.program, &settings, &log)?;
@@ -176,16 +174,16 @@
         Ok(())
     }
 
-    /// Waits until a router takes calls.
+    /// Waits until a router is ready.
     ///
     /// # Errors
     ///
-    /// When it ends before, or does not within `patience`; the error has the end of its log.
-    pub async fn wait_ready(&mut self, host: &str, patience: Duration) -> eyre::Result<()> {
+    /// Returns an error with the tail of its log if it exits, or is not ready within `timeout`.
+    pub async fn wait_ready(&mut self, host: &str, timeout: Duration) -> eyre::Result<()> {
         let started = Instant::now();
         let address = self.call_address(host)?;
         let caller = FleetCaller::new();
-        while started.elapsed() < patience {
+        while started.elapsed() < timeout {
             let request = Request::get("/healthz").header("host", &address);
             let request = request.body(Full::new(Bytes::new()))?;
             let answer = caller.send(&address, request).await;
@@ -193,14 +191,14 @@
                 return Ok(());
             }
             if let Some(status) = self.process(host)?.wait(Duration::ZERO)? {
-                return Err(eyre!("{host} ended, {status}: {}", self.log_end(host)));
+                return Err(eyre!("{host} exited, {status}: {}", self.log_tail(host)));
             }
-            tokio::time::sleep(READY_PAUSE).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
-        Err(eyre!("{host} is not ready: {}", self.log_end(host)))
+        Err(eyre!("{host} is not ready: {}", self.log_tail(host)))
     }
 
-    /// Tells the platform's host list that a target is leaving, or is not.
+    /// Sets the state of a target in the platform's host list.
     pub async fn set_target_state(&mut self, host: &str, state: HostState) -> eyre::Result<()> {
         let target = self
             .targets
@@ -210,8 +208,8 @@
         self.write_hosts().await
     }
 
-    /// Takes a router's host off the platform's list, as the platform does some time after the host
-    /// has died, or puts it back.
+    /// Removes a router's host from the platform's list, as the platform does some time after the
+    /// death of a host, or adds it again.
     pub async fn set_router_listed(&mut self, host: &str, is_listed: bool) -> eyre::Result<()> {
         let router = self
             .routers
@@ -221,13 +219,13 @@
         self.write_hosts().await
     }
 
-    /// The log of a router.
+    /// Returns the path of a router's log.
     pub fn log_path(&self, host: &str) -> PathBuf {
         self.directory.path().join(format!("{host}.log"))
     }
 
-    /// The last lines of a router's log.
-    pub fn log_end(&self, host: &str) -> String {
+    /// Returns the last lines of a router's log.
+    pub fn log_tail(&self, host: &str) -> String {
         let log = std::fs::read_to_string(self.log_path(host)).unwrap_or_default();
         let lines: Vec<&str> = log.lines().collect();
         lines[lines.len().saturating_sub(40)..].join("\n")
@@ -271,10 +269,10 @@
 
 impl Drop for LabFleet {
     fn drop(&mut self) {
-        // The logs go away with the directory, and a test that failed needs them.
+        // The logs are removed with the directory, so they are printed if a test fails.
         if std::thread::panicking() {
             for host in self.routers.keys() {
-                eprintln!("log of {host}:\n{}", self.log_end(host.as_str()));
+                eprintln!("log of {host}:\n{}", self.log_tail(host.as_str()));
             }
         }
     }
--- a/crates/beechsaddle-lab/src/fleet/lab_process.rs
+++ b/crates/beechsaddle-lab/src/fleet/lab_process.rs
@@ -1,4 +1,4 @@
-//! The `lab_process` module provides processes that are started, frozen and killed.
+//! The `lab_process` module provides child processes that can be signalled, frozen and killed.
 
 use std::ffi::OsStr;
 use std::fs::File;
@@ -12,17 +12,17 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-/// How often an ending process is looked at.
-const EXIT_PAUSE: Duration = Duration::from_millis(5);
+/// The time between two checks whether a process has exited.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A process of the lab's own program; killed when this is dropped.
+/// A child process that runs the lab's binary and is killed on drop.
 #[derive(Debug)]
 pub struct LabProcess {
     child: Child,
 }
 
 impl LabProcess {
-    /// Starts a stand-in and waits until it says where it listens.
+    /// Starts a stand-in and waits until it prints its address.
     pub fn try_start_stand_in(
         program: &Path,
         arguments: impl IntoIterator<Item = impl AsRef<OsStr>>,
@@ -35,17 +35,17 @@
             .wrap_err_with(|| format!("cannot start {}", program.display()))?;
         let output = child.stdout.take();
         let process = LabProcess { child };
-        let output = output.ok_or_else(|| eyre!("a stand-in has no output"))?;
+        let output = output.ok_or_else(|| eyre!("a stand-in has no standard output"))?;
         let mut line = String::new();
         BufReader::new(output).read_line(&mut line)?;
         let address = line
             .trim()
             .strip_prefix("listening=")
-            .ok_or_else(|| eyre!("a stand-in did not say where it listens: {line:?}"))?;
+            .ok_or_else(|| eyre!("a stand-in did not print its address: {line:?}"))?;
         Ok((process, address.parse()?))
     }
 
-    /// Starts a router whose output goes to a file.
+    /// Starts a router whose output is appended to a log file.
     pub fn try_start_router(program: &Path, settings: &Path, log: &Path) -> eyre::Result<Self> {
         let output = File::options().create(true).append(true).open(log)?;
         let errors = output.try_clone()?;
@@ -60,54 +60,53 @@
         Ok(LabProcess { child })
     }
 
-    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Kills it, with everything that it knows.
+    /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) -> eyre::Result<()> {
         self.child.kill()?;
         self.child.wait()?;
         Ok(())
     }
 
-    /// Stops it in the middle of what it does; its connections stay open.
+    /// Suspends the process; its connections stay open.
     pub fn freeze(&self) -> eyre::Result<()> {
         self.signal(Signal::SIGSTOP)
     }
 
-    /// Lets it go on.
+    /// Resumes the process.
     pub fn thaw(&self) -> eyre::Result<()> {
         self.signal(Signal::SIGCONT)
     }
 
-    /// Asks it to shut down gracefully.
+    /// Requests a graceful shutdown.
     pub fn terminate(&self) -> eyre::Result<()> {
         self.signal(Signal::SIGTERM)
     }
 
-    /// Has it read its settings again.
+    /// Makes the process reload its settings.
     pub fn reload(&self) -> eyre::Result<()> {
         self.signal(Signal::SIGHUP)
     }
 
-    /// Waits until it has ended; `None` when it has not after `patience`.
-    pub fn wait(&mut self, patience: Duration) -> eyre::Result<Option<ExitStatus>> {
+    /// Waits for the exit; returns `None` if the process still runs after `timeout`.
+    pub fn wait(&mut self, timeout: Duration) -> eyre::Result<Option<ExitStatus>> {
         let started = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(Some(status));
             }
-            if started.elapsed() >= patience {
+            if started.elapsed() >= timeout {
                 return Ok(None);
             }
-            std::thread::sleep(EXIT_PAUSE);
+            std::thread::sleep(EXIT_POLL_INTERVAL);
         }
     }
 
     fn signal(&self, signal: Signal) -> eyre::Result<()> {
-        // The process is a child that was not waited for, so that its id is still its own.
+        // The child has not been reaped, so its id cannot have been reused.
         let id = i32::try_from(self.child.id())?;
         kill(Pid::from_raw(id), signal).wrap_err_with(|| format!("cannot send {signal}"))
     }
@@ -115,7 +114,7 @@
 
 impl Drop for LabProcess {
     fn drop(&mut self) {
-        // A frozen process is killed as well.
+        // SIGKILL also ends a frozen process.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/beechsaddle-lab/src/fleet/lab_target.rs
+++ b/crates/beechsaddle-lab/src/fleet/lab_target.rs
@@ -1,4 +1,4 @@
-//! The `lab_target` module provides a target of a fleet.
+//! The `lab_target` module provides the targets of a running fleet.
 
 use std::net::SocketAddr;
 
@@ -7,15 +7,15 @@
 use super::fleet_plan::TargetPlan;
 use super::lab_process::LabProcess;
 
-/// A target of the fleet.
+/// A running target.
 #[derive(Debug)]
 pub struct LabTarget {
-    /// What it is.
+    /// The plan from which it was started.
     pub plan: TargetPlan,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Whether it is announced as leaving.
+    /// Its state in the platform's host list.
     pub state: HostState,
-    /// Its process; it ends with this.
+    /// Its process, which is killed on drop.
     pub(super) _process: LabProcess,
 }
--- a/crates/beechsaddle-lab/src/fleet/mod.rs
+++ b/crates/beechsaddle-lab/src/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! The `fleet` module provides small fleets of real processes on this machine.
 //!
-//! The lab's own program plays every part: `beechsaddle-lab stand-in ...` for the platform and the
-//! targets, and the hidden `beechsaddle-lab router` for a router, which runs what the shipped binary
-//! runs. So `cargo run -p beechsaddle-lab` needs no other package's binary to be built before.
+//! All processes run the lab's own binary: `beechsaddle-lab stand-in ...` for the platform and the
+//! targets, and the hidden `beechsaddle-lab router` for a router, which runs the same code as the
+//! shipped binary. So `cargo run -p beechsaddle-lab` does not need another package's binary.
 
 mod fleet_caller;
 mod fleet_plan;
@@ -11,12 +11,12 @@
 mod lab_fleet;
 mod lab_process;
 mod lab_target;
-mod operator_part;
+mod operator_actions;
 mod router_command;
 mod router_file;
 mod scratch_directory;
 
-pub use fleet_caller::{CallerAnswer, FleetCaller, chat_body};
+pub use fleet_caller::{CallerResponse, FleetCaller, chat_body};
 pub use fleet_plan::{FleetPlan, RouterPlan, TargetPlan};
 pub use free_address::free_address;
 pub use lab_fleet::{LabFleet, LabRouter};
@@ -24,5 +24,5 @@
 pub use lab_target::LabTarget;
 pub(crate) use router_command::{end_with_parent, with_parent_argument};
 pub use router_command::{router_command, run_router};
-pub use router_file::{FleetCommons, RouterFile};
+pub use router_file::{FleetSettings, RouterFile};
 pub use scratch_directory::ScratchDirectory;
--- a/crates/beechsaddle-lab/src/fleet/operator_part.rs
+++ b/crates/beechsaddle-lab/src/fleet/operator_actions.rs
@@ -1,4 +1,4 @@
-//! The `operator_part` module provides what operators and the platform do at a fleet's start.
+//! The `operator_actions` module provides the writes of operators and the platform to a fleet.
 
 use std::collections::BTreeMap;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -14,7 +14,7 @@
 use beechsaddle_core::objects::{FleetLayout, PlatformObject};
 use beechsaddle_core::platform::{PlatformReply, WriteGuard};
 
-/// Few shards, so that a small fleet shares them as a large one does.
+/// Few shards, so that the routers of a small fleet share shards as those of a large one do.
 const LAYOUT: FleetLayout = FleetLayout {
     ledger_shards: 4,
     dedup_shards: 4,
@@ -22,7 +22,7 @@
 
 /// Applies a catalogue, as `beechsaddle catalogue apply` does.
 ///
-/// `base` is what the files were last in step with; the new base comes back.
+/// `base` is the state with which the files were last in sync. Returns the new base.
 pub(super) async fn apply_catalogue(
     platform: &PlatformClient,
     text: &str,
--- a/crates/beechsaddle-lab/src/fleet/router_command.rs
+++ b/crates/beechsaddle-lab/src/fleet/router_command.rs
@@ -8,7 +8,7 @@
 use beechsaddle::gateway::{GatewaySettings, is_gateway_file};
 use beechsaddle::settings::RouterSettings;
 
-/// Describes the hidden `router` subcommand.
+/// Returns the hidden `router` subcommand.
 pub fn router_command() -> Command {
     Command::new("router")
         .about("Runs a router of the fleet, as the shipped binary does")
@@ -24,7 +24,7 @@
         .arg(with_parent_argument())
 }
 
-/// Runs a router until it has shut down gracefully.
+/// Runs a router or gateway until it has shut down gracefully.
 pub fn run_router(matches: &ArgMatches) -> eyre::Result<()> {
     end_with_parent(matches);
     let file = matches
@@ -38,7 +38,7 @@
     beechsaddle::router::run(&settings)
 }
 
-/// The flag by which a process ends with the one that started it.
+/// Returns the flag that makes a process exit together with its parent.
 pub(crate) fn with_parent_argument() -> Arg {
     Arg::new("with-parent")
         .long("with-parent")
@@ -47,10 +47,10 @@
         .help("End when standard input is closed")
 }
 
-/// Ends this process when its standard input closes, if it was asked to.
+/// Exits this process when its standard input closes, if `--with-parent` is set.
 ///
-/// A test or demo that is killed can't stop what it started. Its end of the pipe closes with it,
-/// and no process is left over.
+/// A test or demo that is killed cannot stop its child processes. Its end of the pipe closes with
+/// it, so that no child is left running.
 pub(crate) fn end_with_parent(matches: &ArgMatches) {
     if !matches.get_flag("with-parent") {
         return;
--- a/crates/beechsaddle-lab/src/fleet/router_file.rs
+++ b/crates/beechsaddle-lab/src/fleet/router_file.rs
@@ -1,4 +1,4 @@
-//! The `router_file` module provides the settings file of a router in a fleet.
+//! The `router_file` module provides the settings file of a router.
 
 use std::net::SocketAddr;
 
@@ -8,34 +8,33 @@
 use super::fleet_plan::RouterPlan;
 use super::free_address::free_address;
 
-/// Where a router listens.
+/// A router with its addresses.
 #[derive(Clone, Debug)]
 pub struct RouterFile {
-    /// What it is.
+    /// The plan of the router.
     pub plan: RouterPlan,
-    /// Towards callers.
+    /// Address for calls.
     pub call_address: SocketAddr,
-    /// Towards its peers.
+    /// Address for peers.
     pub peer_address: SocketAddr,
-    /// Towards operators.
+    /// Address for operators.
     pub admin_address: SocketAddr,
 }
 
-/// What the routers of a fleet have in common.
+/// Settings that all routers of a fleet share.
 #[derive(Clone, Debug)]
-pub struct FleetCommons {
-    /// The region.
+pub struct FleetSettings {
     pub region: String,
-    /// Where the platform listens.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// The secret of the peers.
+    /// Shared secret for the authentication of peers.
     pub secret: String,
-    /// Further settings as TOML; their keys go before those here.
+    /// Additional settings as TOML, which override generated ones.
     pub settings: String,
 }
 
 impl RouterFile {
-    /// Picks free addresses.
+    /// Chooses unused addresses for a router.
     pub fn try_new(plan: &RouterPlan) -> eyre::Result<Self> {
         Ok(RouterFile {
             plan: plan.clone(),
@@ -45,19 +44,19 @@
         })
     }
 
-    /// The settings as TOML; the other routers of the fleet are its seeds.
-    pub fn try_text(&self, commons: &FleetCommons, fleet: &[RouterFile]) -> eyre::Result<String> {
+    /// Returns the settings as TOML, with the other routers of the fleet as seeds.
+    pub fn try_text(&self, shared: &FleetSettings, fleet: &[RouterFile]) -> eyre::Result<String> {
         let mut settings = Table::new();
-        settings.insert("router".to_owned(), self.identity(&commons.region));
-        let address = commons.platform.to_string();
+        settings.insert("router".to_owned(), self.identity(&shared.region));
+        let address = shared.platform.to_string();
         settings.insert("platform".to_owned(), table([("address", address)]));
-        let mut peers = table([("secret", commons.secret.clone())]);
+        let mut peers = table([("secret", shared.secret.clone())]);
         if let Some(peers) = peers.as_table_mut() {
             peers.insert("seed".to_owned(), self.seeds(fleet));
         }
         settings.insert("peers".to_owned(), peers);
         let further: Table =
-            toml::from_str(&commons.settings).wrap_err("the further settings are no TOML")?;
+            toml::from_str(&shared.settings).wrap_err("the additional settings are not TOML")?;
         add_tables(&mut settings, further)?;
         Ok(toml::to_string(&settings)?)
     }
@@ -98,7 +97,7 @@
 fn add_tables(settings: &mut Table, further: Table) -> eyre::Result<()> {
     for (name, value) in further {
         let Value::Table(keys) = value else {
-            return Err(eyre!("{name} is no table"));
+            return Err(eyre!("{name} is not a table"));
         };
         let entry = settings.entry(name).or_insert(Value::Table(Table::new()));
         if let Some(present) = entry.as_table_mut() {
--- a/crates/beechsaddle-lab/src/fleet/scratch_directory.rs
+++ b/crates/beechsaddle-lab/src/fleet/scratch_directory.rs
@@ -1,31 +1,31 @@
-//! The `scratch_directory` module provides directories that go away again.
+//! The `scratch_directory` module provides temporary directories.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use eyre::WrapErr;
 
-/// Tells the directories of one process apart.
+/// Number of the next directory, which makes the names of a process's directories unique.
 static COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// A directory for temporary files, removed when this is dropped.
+/// A directory for temporary files, removed on drop.
 #[derive(Debug)]
 pub struct ScratchDirectory {
     path: PathBuf,
 }
 
 impl ScratchDirectory {
-    /// Makes one.
+    /// Creates a directory.
     pub fn try_new() -> eyre::Result<Self> {
         let number = COUNT.fetch_add(1, Ordering::Relaxed);
         let name = format!("beechsaddle-lab-{}-{number}", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path)
-            .wrap_err_with(|| format!("cannot make {}", path.display()))?;
+            .wrap_err_with(|| format!("cannot create {}", path.display()))?;
         Ok(ScratchDirectory { path })
     }
 
-    /// Where it is.
+    /// Returns the path of the directory.
     pub fn path(&self) -> &Path {
         &self.path
     }
--- a/crates/beechsaddle-lab/src/key_values.rs
+++ b/crates/beechsaddle-lab/src/key_values.rs
@@ -2,26 +2,25 @@
 
 use std::fmt;
 
-/// Pairs that are printed in the order in which they were added.
+/// Key-value pairs, printed in the order in which they were added.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyValues {
     pairs: Vec<(String, String)>,
 }
 
 impl KeyValues {
-    /// An empty line.
+    /// Creates an empty line.
     pub fn new() -> Self {
         KeyValues::default()
     }
 
-    /// Adds a pair.
     #[must_use]
     pub fn with(mut self, key: impl Into<String>, value: impl fmt::Display) -> Self {
         self.pairs.push((key.into(), value.to_string()));
         self
     }
 
-    /// Adds a number with three digits after the point.
+    /// Adds a number with three decimal places.
     #[must_use]
     pub fn with_float(self, key: impl Into<String>, value: f64) -> Self {
         self.with(key, format_args!("{value:.3}"))
--- a/crates/beechsaddle-lab/src/lib.rs
+++ b/crates/beechsaddle-lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins, a load tool and experiments for beechsaddle. Not shipped.
+//! Stand-ins, load and soak tests, and experiments for beechsaddle. Not shipped.
 
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
--- a/crates/beechsaddle-lab/src/load/arrival_plan.rs
+++ b/crates/beechsaddle-lab/src/load/arrival_plan.rs
@@ -1,4 +1,4 @@
-//! The `arrival_plan` module provides the calls of a run, in the order of their sending.
+//! The `arrival_plan` module provides the calls of a load run in sending order.
 
 use std::time::Duration;
 
@@ -7,31 +7,31 @@
 
 use super::{CallMix, PlannedCall, ShareTable};
 
-/// How many shared prompt beginnings a workspace has.
-const OPENINGS: u64 = 4;
+/// Shared prompt prefixes of each workspace.
+const PREFIXES_PER_WORKSPACE: u64 = 4;
 
-/// What a run's calls are drawn from.
+/// Parameters from which the calls of a run are generated.
 #[derive(Clone, Debug)]
 pub struct PlanOptions {
-    /// The seed of all choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Calls a second on average.
+    /// Mean arrival rate in calls per second.
     pub rate: f64,
-    /// How long calls are sent.
+    /// The time during which calls are sent.
     pub span: Duration,
-    /// The shares of the kinds.
+    /// Shares of the call kinds.
     pub mix: CallMix,
-    /// How many workspaces send.
+    /// Number of workspaces that send calls.
     pub workspaces: usize,
-    /// The exponent of the workspaces' shares.
+    /// Zipf exponent of the workspaces' shares.
     pub skew: f64,
-    /// The most tokens that a call generates; each call asks for half of it to all of it.
+    /// Upper bound of a call's `max_tokens`; each call requests between half of it and all of it.
     pub max_tokens: u64,
-    /// Whether progress lines go to the standard error stream.
+    /// Whether progress lines are written to standard error.
     pub progress: bool,
 }
 
-/// The calls of a run: open-loop Poisson arrivals, which wait for no answer.
+/// The calls of a run: open-loop Poisson arrivals, independent of responses.
 #[derive(Clone, Debug)]
 pub struct ArrivalPlan {
     options: PlanOptions,
@@ -42,7 +42,7 @@
 }
 
 impl ArrivalPlan {
-    /// The plan of a run.
+    /// Creates the plan of a run.
     pub fn new(options: PlanOptions) -> Self {
         ArrivalPlan {
             shares: ShareTable::new(options.workspaces, options.skew),
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Whether progress lines go to the standard error stream.
+    /// Whether progress lines are written to standard error.
     pub fn shows_progress(&self) -> bool {
         self.options.progress
     }
 
-    // The time to the next arrival of a Poisson process is exponential; `1 - u` is never zero, so
-    // that the logarithm is finite.
+    // Inter-arrival times of a Poisson process are exponential. `1 - u` is never zero, so the
+    // logarithm is finite.
     fn next_gap(&mut self) -> Duration {
         let uniform: f64 = self.random.random();
         let seconds = -(1.0 - uniform).ln() / self.options.rate.max(f64::MIN_POSITIVE);
@@ -85,7 +85,7 @@
             kind: self.options.mix.pick(&mut self.random),
             workspace: self.shares.pick(&mut self.random),
             key: format!("load-{}-{number}", self.options.seed),
-            opening: self.random.random_range(0..OPENINGS),
+            prefix: self.random.random_range(0..PREFIXES_PER_WORKSPACE),
             max_tokens: self.random.random_range(most.div_ceil(2)..=most),
         })
     }
--- a/crates/beechsaddle-lab/src/load/call_kind.rs
+++ b/crates/beechsaddle-lab/src/load/call_kind.rs
@@ -1,20 +1,19 @@
 //! The `call_kind` module provides the kinds of calls that the load tool sends.
 
-/// A kind of call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallKind {
-    /// A chat whose answer is streamed.
+    /// A chat with a streamed response.
     StreamedChat,
-    /// A chat whose answer comes as a whole.
+    /// A chat with a buffered response.
     WholeChat,
     /// A call to a plain service.
     Plain,
-    /// A call to a plain service that may not be repeated.
+    /// A call to a plain service that must not be repeated.
     NotRepeatable,
 }
 
 impl CallKind {
-    /// Every kind, in the order of the mix on the command line.
+    /// All kinds, in the order of the weights of `--mix`.
     pub const ALL: [CallKind; 4] = [
         CallKind::StreamedChat,
         CallKind::WholeChat,
@@ -22,7 +21,7 @@
         CallKind::NotRepeatable,
     ];
 
-    /// Whether an engine answers it.
+    /// Whether calls of this kind go to an engine.
     pub fn is_chat(self) -> bool {
         matches!(self, CallKind::StreamedChat | CallKind::WholeChat)
     }
--- a/crates/beechsaddle-lab/src/load/call_mix.rs
+++ b/crates/beechsaddle-lab/src/load/call_mix.rs
@@ -1,4 +1,4 @@
-//! The `call_mix` module provides the shares of the kinds of calls.
+//! The `call_mix` module provides the relative weights of call kinds.
 
 use std::str::FromStr;
 
@@ -6,18 +6,18 @@
 
 use super::CallKind;
 
-/// How many calls of each kind there are in proportion to the others.
+/// Relative weights of the call kinds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallMix {
     weights: [u32; CallKind::ALL.len()],
 }
 
 impl CallMix {
-    /// Makes a mix of weights in the order of [`CallKind::ALL`].
+    /// Creates a mix from weights in the order of [`CallKind::ALL`].
     ///
     /// # Errors
     ///
-    /// When all weights are zero.
+    /// Returns an error if all weights are zero.
     pub fn try_new(weights: [u32; CallKind::ALL.len()]) -> Result<Self, String> {
         if weights.iter().all(|weight| *weight == 0) {
             return Err("at least one weight of the mix has to be above zero".to_owned());
@@ -25,21 +25,21 @@
         Ok(CallMix { weights })
     }
 
-    /// Streamed chats and nothing else.
+    /// A mix of streamed chats only.
     pub fn only_streams() -> Self {
         CallMix {
             weights: [1, 0, 0, 0],
         }
     }
 
-    /// Calls to a plain service and nothing else.
+    /// A mix of repeatable calls to a plain service only.
     pub fn only_plain() -> Self {
         CallMix {
             weights: [0, 0, 1, 0],
         }
     }
 
-    /// Draws a kind.
+    /// Draws a kind in proportion to the weights.
     pub fn pick(&self, random: &mut impl Rng) -> CallKind {
         let sum: u32 = self.weights.iter().sum();
         let mut left = random.random_range(0..sum);
@@ -54,7 +54,7 @@
 }
 
 impl Default for CallMix {
-    /// Mostly streamed chats, as the assistants of both deployments send.
+    /// Mostly streamed chats, as the assistants of both example deployments send.
     fn default() -> Self {
         CallMix {
             weights: [60, 10, 25, 5],
@@ -65,7 +65,7 @@
 impl FromStr for CallMix {
     type Err = String;
 
-    /// Reads `streamed:whole:plain:not-repeatable`, for instance `60:10:25:5`.
+    /// Parses `streamed:whole:plain:not-repeatable`, for example `60:10:25:5`.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let parts: Vec<&str> = text.split(':').collect();
         let parts: [&str; CallKind::ALL.len()] = parts
--- a/crates/beechsaddle-lab/src/load/call_outcome.rs
+++ b/crates/beechsaddle-lab/src/load/call_outcome.rs
@@ -1,44 +1,45 @@
-//! The `call_outcome` module provides how a call ended for its caller.
+//! The `call_outcome` module provides the outcome of a call as its caller sees it.
 
 use std::time::Duration;
 
-/// How one try of a call ended.
+/// The outcome of one try of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The whole answer came, and it bears the call's own mark.
-    Answered(AnswerTimes),
-    /// A refusal that can be read came.
-    Refused(ReadRefusal),
-    /// The answer is another call's.
+    /// A complete response with the call's own mark.
+    Answered(ResponseTimes),
+    /// A well-formed refusal.
+    Refused(ParsedRefusal),
+    /// The response belongs to another call.
     Crossed,
-    /// The answer ended as if it were whole, and is not: the worst kind of truncation.
+    /// A truncated response that ended without a transport error, so that a caller which does not
+    /// check the content takes it for complete.
     Short,
-    /// The connection broke, or nothing came in time; the caller knows that it knows nothing.
+    /// The connection was lost or the try timed out. The caller does not know whether the call ran.
     Broken,
 }
 
-/// When the parts of an answer came, counted from the time at which the call should have been sent.
+/// Latencies of a response, measured from the planned sending time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerTimes {
-    /// To the first token; for calls without a stream the same as `whole`.
+pub struct ResponseTimes {
+    /// Time to the first token; equal to `whole` for calls without a stream.
     pub first: Duration,
-    /// To the end.
+    /// Time to the end of the response.
     pub whole: Duration,
-    /// The longest wait between two tokens.
+    /// The longest time between two tokens.
     pub longest_gap: Duration,
-    /// The tokens that the answer says it cost.
+    /// The token usage that the response reports.
     pub tokens: u64,
 }
 
-/// A refusal as a caller reads it.
+/// A refusal, parsed from the response body.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ReadRefusal {
-    /// Why.
+pub struct ParsedRefusal {
+    /// The refusal reason.
     pub reason: String,
-    /// Whether it says that the call did not run.
+    /// Whether it states that the call did not run.
     pub not_run: bool,
-    /// After how many milliseconds it says that coming back helps.
+    /// The delay in milliseconds after which it permits a retry; `None` if the refusal is final.
     pub retry_after_ms: Option<u64>,
-    /// The router's id of the call, under which its attempts are known at the targets.
+    /// The router's id of the call, from which the ids of its attempts at the targets derive.
     pub call: String,
 }
--- a/crates/beechsaddle-lab/src/load/call_request.rs
+++ b/crates/beechsaddle-lab/src/load/call_request.rs
@@ -1,4 +1,4 @@
-//! The `call_request` module provides the request of a planned call.
+//! The `call_request` module provides the HTTP request of a planned call.
 
 use bytes::Bytes;
 use http::Request;
@@ -7,14 +7,14 @@
 
 use super::{CallKind, CallerSettings, PlannedCall};
 
-/// How often a shared beginning is repeated, so that it covers a few prefix blocks.
-const OPENING_REPEATS: usize = 24;
+/// Repetitions of the prefix sentence, so that a shared prefix covers several prefix cache blocks.
+const PREFIX_REPEATS: usize = 24;
 
-/// Makes the request of `call`; `keyed` sends its idempotency key also where it need not.
+/// Builds the request of `call`. `keyed` adds the idempotency key also to calls that need none.
 ///
 /// # Errors
 ///
-/// When a key or name cannot stand in a header or path.
+/// Returns an error if a key or name is not valid in a header or path.
 pub fn build_request(
     settings: &CallerSettings,
     call: &PlannedCall,
@@ -26,7 +26,7 @@
         .header("authorization", format!("Bearer {}", workspace.key))
         .header("beechsaddle-budget", &workspace.budget)
         .header("content-type", "application/json");
-    // A service may declare that none of its calls may be repeated, and then asks for a key.
+    // A service that declares its calls non-repeatable requires an idempotency key.
     if keyed || !call.kind.is_chat() {
         request = request.header("idempotency-key", &call.key);
     }
@@ -49,14 +49,14 @@
     if !call.kind.is_chat() {
         return json!({"mark": call.key}).to_string();
     }
-    let sentence = format!("Rules {} of {workspace}. ", call.opening);
-    let opening = sentence.repeat(OPENING_REPEATS);
-    // The mark has to be the last word of the prompt: the stand-in of an engine gives that back.
+    let sentence = format!("Rules {} of {workspace}. ", call.prefix);
+    let prefix = sentence.repeat(PREFIX_REPEATS);
+    // The engine stand-in echoes the last word of the prompt, so the mark must come last.
     let mut body = json!({
         "model": settings.model,
         "max_tokens": call.max_tokens,
         "messages": [
-            {"role": "system", "content": opening},
+            {"role": "system", "content": prefix},
             {"role": "user", "content": format!("request {}", call.key)},
         ],
     });
--- a/crates/beechsaddle-lab/src/load/call_result.rs
+++ b/crates/beechsaddle-lab/src/load/call_result.rs
@@ -1,31 +1,30 @@
-//! The `call_result` module provides everything that a caller knows of a call in the end.
+//! The `call_result` module provides the final record of a call on the caller's side.
 
 use std::time::Instant;
 
 use super::{CallOutcome, PlannedCall};
 
-/// A call with the outcome of its last try.
+/// A call with its tries and the outcome of the last one.
 #[derive(Clone, Debug)]
 pub struct CallResult {
-    /// The call.
     pub call: PlannedCall,
-    /// When it should have been sent. Latency counts from here and not from the real sending, so
-    /// that a stall of sender or router shows in every call that it delayed.
+    /// The planned sending time. Latency is measured from here and not from the actual sending, so
+    /// that a stall of the sender or a router shows in every call that it delayed.
     pub intended: Instant,
-    /// How many tries there were.
+    /// Number of tries.
     pub tries: u32,
-    /// The router's ids of the tries that were told that they did not run.
+    /// The router's call ids of the tries that were refused as not run.
     pub not_run: Vec<String>,
     /// Whether the call may be repeated.
     pub repeatable: bool,
-    /// What happened in each try, for a person who looks for the cause of a lost call.
+    /// One entry per try with its time and event, to diagnose a lost call.
     pub trail: Vec<String>,
-    /// How the last try ended.
+    /// The outcome of the last try.
     pub outcome: CallOutcome,
 }
 
 impl CallResult {
-    /// A call that was not tried yet.
+    /// Creates the record of a call that has not been sent.
     pub fn new(call: PlannedCall, start: Instant, repeatable: bool) -> Self {
         let intended = start + call.offset;
         CallResult {
@@ -39,8 +38,8 @@
         }
     }
 
-    /// Takes the outcome of a try and what happened in it.
-    pub fn note(&mut self, outcome: CallOutcome, event: String) {
+    /// Records the outcome of a try and a description of its event.
+    pub fn record(&mut self, outcome: CallOutcome, event: String) {
         self.tries += 1;
         let after = self.intended.elapsed().as_millis();
         self.trail.push(format!("{after} ms: {event}"));
--- a/crates/beechsaddle-lab/src/load/call_sender.rs
+++ b/crates/beechsaddle-lab/src/load/call_sender.rs
@@ -1,4 +1,4 @@
-//! The `call_sender` module provides a caller that sends one planned call until its end.
+//! The `call_sender` module provides a caller that sends planned calls and retries them.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -7,8 +7,8 @@
 use tokio::time::{sleep, timeout};
 
 use super::{
-    AnswerReader, CallKind, CallOutcome, CallResult, CallerPatience, CallerSettings, HttpClient,
-    PlannedCall, build_request,
+    CallKind, CallOutcome, CallResult, CallerRetryPolicy, CallerSettings, HttpClient, PlannedCall,
+    ResponseReader, build_request,
 };
 
 /// Sends calls to the routers of a fleet.
@@ -16,27 +16,27 @@
 pub struct CallSender {
     settings: Arc<CallerSettings>,
     client: Arc<HttpClient>,
-    patience: CallerPatience,
+    retry_policy: CallerRetryPolicy,
 }
 
 impl CallSender {
-    /// A sender for the fleet of `settings`.
-    pub fn new(settings: Arc<CallerSettings>, patience: CallerPatience) -> Self {
+    /// Creates a sender for the fleet of `settings`.
+    pub fn new(settings: Arc<CallerSettings>, retry_policy: CallerRetryPolicy) -> Self {
         CallSender {
             settings,
             client: Arc::new(HttpClient::new()),
-            patience,
+            retry_policy,
         }
     }
 
-    /// Sends a call, and again while the caller has patience, each time through another router.
+    /// Sends a call and retries it as the policy permits, each time through the next router.
     pub async fn send(&self, call: PlannedCall, start: Instant) -> CallResult {
         let repeatable = self.settings.may_repeat(call.kind);
         let mut result = CallResult::new(call, start, repeatable);
         loop {
             let (outcome, event) = self.try_once(&result).await;
-            result.note(outcome, event);
-            match self.patience.wait_after(&result.outcome, result.tries) {
+            result.record(outcome, event);
+            match self.retry_policy.wait_after(&result.outcome, result.tries) {
                 Some(wait) => sleep(wait).await,
                 None => return result,
             }
@@ -46,17 +46,17 @@
     async fn try_once(&self, result: &CallResult) -> (CallOutcome, String) {
         let address = self.router_for(result);
         let attempt = self.exchange(result, address);
-        match timeout(self.patience.try_timeout, attempt).await {
+        match timeout(self.retry_policy.try_timeout, attempt).await {
             Ok(Ok((outcome, status))) => (outcome, format!("{address} answered {status}")),
             Ok(Err(error)) => (CallOutcome::Broken, format!("{address} {error:#}")),
-            Err(_) => (CallOutcome::Broken, format!("{address} took too long")),
+            Err(_) => (CallOutcome::Broken, format!("{address} timed out")),
         }
     }
 
     fn router_for(&self, result: &CallResult) -> &str {
         let routers = &self.settings.routers;
-        let turn = result.call.number.wrapping_add(u64::from(result.tries));
-        &routers[(turn % routers.len() as u64) as usize]
+        let index = result.call.number.wrapping_add(u64::from(result.tries));
+        &routers[(index % routers.len() as u64) as usize]
     }
 
     async fn exchange(
@@ -65,9 +65,9 @@
         address: &str,
     ) -> eyre::Result<(CallOutcome, StatusCode)> {
         let call = &result.call;
-        let request = build_request(&self.settings, call, self.patience.retries > 0)?;
+        let request = build_request(&self.settings, call, self.retry_policy.retries > 0)?;
         let (response, connection) = self.client.send(address, request).await?;
-        let reader = AnswerReader {
+        let reader = ResponseReader {
             mark: call.key.clone(),
             intended: result.intended,
         };
@@ -81,7 +81,7 @@
                 reader.read_plain(body, self.settings.call_cost).await
             }
         };
-        self.client.give_back(address, connection);
+        self.client.release_connection(address, connection);
         Ok((outcome, status))
     }
 }
--- a/crates/beechsaddle-lab/src/load/caller_settings.rs
+++ b/crates/beechsaddle-lab/src/load/caller_settings.rs
@@ -1,4 +1,4 @@
-//! The `caller_settings` module provides what callers have to know of a fleet.
+//! The `caller_settings` module provides the settings that callers need to use a fleet.
 
 use std::path::Path;
 
@@ -7,46 +7,46 @@
 
 use super::CallKind;
 
-/// Where a fleet is and what its callers ask for, read from a TOML file.
+/// Addresses of a fleet and the names that its callers use, read from a TOML file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerSettings {
-    /// Where routers take calls, as `address:port`.
+    /// Call addresses of the routers, as `address:port`.
     pub routers: Vec<String>,
-    /// Where the platform's stand-in listens; without it no statement is checked.
+    /// Address of the platform stand-in. Without it the ledger is not checked.
     #[serde(default)]
     pub platform: Option<String>,
-    /// Where the targets' stand-ins listen; without them nobody can tell what ran.
+    /// Addresses of the target stand-ins. Without them the runs of calls are not checked.
     #[serde(default)]
     pub targets: Vec<String>,
-    /// The model that chats ask for.
+    /// The model of chats.
     pub model: String,
-    /// The service that plain calls ask for.
+    /// The service of plain calls.
     pub service: String,
-    /// What a plain call costs, in tokens.
+    /// The cost of a plain call in tokens.
     #[serde(default)]
     pub call_cost: u64,
-    /// Whether the service declares that its calls may be repeated.
+    /// Whether the service declares its calls repeatable.
     #[serde(default)]
     pub repeatable: bool,
-    /// The workspaces, the busiest first.
+    /// The workspaces by descending load.
     pub workspaces: Vec<CallerWorkspace>,
 }
 
-/// A workspace as its callers know it.
+/// Name and credentials of a workspace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerWorkspace {
-    /// Its name.
     pub name: String,
-    /// Its key.
+    /// Its API key.
     pub key: String,
-    /// The budget to spend.
+    /// The budget that its calls are billed to.
     pub budget: String,
 }
 
 impl CallerSettings {
-    /// Whether a call of a kind may be repeated; a call can only narrow what its service declares.
+    /// Whether calls of `kind` may be repeated. A call can restrict the service's declaration but
+    /// not relax it.
     pub fn may_repeat(&self, kind: CallKind) -> bool {
         match kind {
             CallKind::StreamedChat | CallKind::WholeChat => true,
@@ -55,11 +55,12 @@
         }
     }
 
-    /// Reads a file.
+    /// Reads the settings from a file.
     ///
     /// # Errors
     ///
-    /// When it cannot be read, is not TOML, has unknown keys, or names no router or workspace.
+    /// Returns an error if the file cannot be read, is not TOML, has unknown keys, or lists no
+    /// router or no workspace.
     pub fn try_read(path: impl AsRef<Path>) -> eyre::Result<Self> {
         let path = path.as_ref();
         let text = std::fs::read_to_string(path)
@@ -67,7 +68,7 @@
         let settings: CallerSettings =
             toml::from_str(&text).wrap_err_with(|| format!("in {}", path.display()))?;
         if settings.routers.is_empty() || settings.workspaces.is_empty() {
-            eyre::bail!("{} names no router or no workspace", path.display());
+            eyre::bail!("{} lists no router or no workspace", path.display());
         }
         Ok(settings)
     }
--- a/crates/beechsaddle-lab/src/load/deployment.rs
+++ b/crates/beechsaddle-lab/src/load/deployment.rs
@@ -1,4 +1,4 @@
-//! The `deployment` module provides a deployment as a fleet of processes on this machine.
+//! The `deployment` module provides deployments run as processes on this machine.
 
 use std::path::PathBuf;
 
@@ -8,9 +8,9 @@
 use super::{CallerSettings, CallerWorkspace, FleetFile, FleetService};
 use crate::fleet::{FleetPlan, LabFleet, RouterPlan, TargetPlan};
 
-/// A deployment that is run with one process for each router and each replica.
+/// A deployment with one process for each router and each replica.
 ///
-/// Delays of the file are not brought about: all traffic stays on the loopback interface.
+/// The network delays of the file are not simulated: all traffic stays on the loopback interface.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     file: FleetFile,
@@ -19,7 +19,7 @@
 }
 
 impl Deployment {
-    /// A deployment with the stand-ins' own speed.
+    /// Creates a deployment whose stand-ins run with their default timing.
     pub fn new(file: FleetFile) -> Self {
         Deployment {
             file,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Adds an argument of the engines' stand-ins, as `--first-token-ms`, with its value.
+    /// Adds a command-line argument of the engine stand-ins, such as `--first-token-ms`.
     #[must_use]
     pub fn with_engine(mut self, argument: &str, value: u64) -> Self {
         self.engine_arguments.push(argument.to_owned());
@@ -36,23 +36,23 @@
         self
     }
 
-    /// Sets tables that go into the settings of each router.
+    /// Sets TOML tables that are merged into the settings of each router.
     #[must_use]
     pub fn with_settings(mut self, settings: impl Into<String>) -> Self {
         self.settings = settings.into();
         self
     }
 
-    /// Starts all processes and waits until the routers take calls.
+    /// Starts all processes and waits until the routers are ready.
     ///
     /// # Errors
     ///
-    /// When a process does not start.
+    /// Returns an error if a process does not start.
     pub async fn start(&self) -> eyre::Result<LabFleet> {
         LabFleet::try_start(self.plan(std::env::current_exe()?)).await
     }
 
-    /// What the fleet is made of; `program` is the lab's own.
+    /// Returns the plan of the fleet; `program` is the path of the lab's binary.
     pub fn plan(&self, program: PathBuf) -> FleetPlan {
         FleetPlan {
             program,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// What callers have to know of the running fleet.
+    /// Returns the caller settings for the running fleet.
     pub fn callers(&self, fleet: &LabFleet) -> CallerSettings {
         let routers = fleet.routers().values();
         let targets = fleet.targets().values();
@@ -98,7 +98,8 @@
             .collect()
     }
 
-    // Replicas go round the domains, so that each domain has some of every service.
+    // Replicas are assigned to the domains round-robin, so that each domain has replicas of every
+    // service.
     fn targets(&self) -> Vec<TargetPlan> {
         let domains = self.file.domains.iter().cycle();
         let replicas = self.file.services.iter().flat_map(|service| {
@@ -129,8 +130,8 @@
         target.with_arguments(&arguments)
     }
 
-    // Callers that a service refuses would only measure refusals, so that workspaces send what all
-    // of them may call.
+    // Only workspaces that may call every service send load: calls that a service refuses would
+    // only measure refusals.
     fn workspaces(&self) -> Vec<CallerWorkspace> {
         self.file
             .workspaces
--- a/crates/beechsaddle-lab/src/load/deployment_catalogue.rs
+++ b/crates/beechsaddle-lab/src/load/deployment_catalogue.rs
@@ -1,4 +1,4 @@
-//! The `deployment_catalogue` module provides the catalogue of a deployment as an operator writes it.
+//! The `deployment_catalogue` module provides the operator's catalogue file of a deployment.
 
 use beechsaddle_core::catalogue::{EntryClass, ServiceKind};
 use sha2::{Digest, Sha256};
@@ -6,13 +6,13 @@
 
 use super::{FleetFile, FleetService, FleetWorkspace};
 
-/// Who owns all entries of a deployment that is run for measuring.
+/// Owner of all catalogue entries of a test deployment.
 const OWNER: &str = "lab";
 
-/// The largest answer of a chat.
+/// Output limit of a chat in tokens.
 const OUTPUT_LIMIT: i64 = 4_096;
 
-/// The catalogue in the form of `docs/CATALOGUE.md`.
+/// Returns the catalogue as TOML in the format of `docs/CATALOGUE.md`.
 pub fn catalogue_text(file: &FleetFile) -> String {
     let workspaces = file.workspaces.iter();
     let services = file.services.iter();
--- a/crates/beechsaddle-lab/src/load/http_client.rs
+++ b/crates/beechsaddle-lab/src/load/http_client.rs
@@ -1,4 +1,4 @@
-//! The `http_client` module provides an HTTP/1.1 client that never sends a request twice.
+//! The `http_client` module provides an HTTP/1.1 client that never resends a request.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -13,29 +13,29 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long to wait for a connection.
+/// Timeout of connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The connection on which a request goes out, to be given back when its answer is whole.
+/// The connection of a request in progress, to be released once its response is complete.
 pub type OpenConnection = SendRequest<Full<Bytes>>;
 
-/// A client that keeps idle connections and leaves resending to its caller.
+/// A client that pools idle connections and leaves retries to its caller.
 #[derive(Debug, Default)]
 pub struct HttpClient {
     idle: Mutex<BTreeMap<String, Vec<OpenConnection>>>,
 }
 
 impl HttpClient {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new() -> Self {
         HttpClient::default()
     }
 
-    /// Sends a request once and gives the head of its answer.
+    /// Sends a request once and returns the head of its response.
     ///
     /// # Errors
     ///
-    /// When there is no connection, or it broke before the head was whole.
+    /// Returns an error if no connection can be made, or if it is lost before the head is complete.
     pub async fn send(
         &self,
         address: &str,
@@ -50,8 +50,8 @@
         Ok((response, connection))
     }
 
-    /// Gives back a connection whose answer was read to its end.
-    pub fn give_back(&self, address: &str, connection: OpenConnection) {
+    /// Returns a connection to the pool once its response has been read to the end.
+    pub fn release_connection(&self, address: &str, connection: OpenConnection) {
         if connection.is_closed() {
             return;
         }
@@ -60,8 +60,8 @@
         }
     }
 
-    // A connection that the server closed while it lay idle is dropped here. One that closes in
-    // the moment of sending gives an error to the caller, who alone may decide to send again.
+    // Connections that the server closed while idle are dropped here. If one closes while a request
+    // is being sent, the caller gets an error, because only it may decide to send again.
     fn take_idle(&self, address: &str) -> Option<OpenConnection> {
         let mut idle = self.idle.lock().ok()?;
         let stack = idle.get_mut(address)?;
@@ -78,7 +78,7 @@
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await?;
-    // The task ends with the connection; its error reaches the sender as well.
+    // The task ends with the connection. The sender receives its error too.
     tokio::spawn(async move { connection.await.ok() });
     Ok(sender)
 }
--- a/crates/beechsaddle-lab/src/load/ledger_totals.rs
+++ b/crates/beechsaddle-lab/src/load/ledger_totals.rs
@@ -1,4 +1,4 @@
-//! The `ledger_totals` module provides what the ledger says of all budgets together.
+//! The `ledger_totals` module provides the sums of all budgets of the ledger.
 
 use beechsaddle_core::accounting::BudgetAccount;
 use beechsaddle_core::objects::PlatformObject;
@@ -6,22 +6,22 @@
 use super::PlatformReader;
 use crate::key_values::KeyValues;
 
-/// Sums over budgets, in tokens unless said otherwise.
+/// Sums over all budgets, in tokens unless stated otherwise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LedgerTotals {
-    /// Budgets.
+    /// Number of budgets.
     pub budgets: u64,
-    /// Paid in and not taken out again.
+    /// Top-ups less withdrawals.
     pub topped_up: u64,
-    /// Billed.
+    /// Billed tokens.
     pub settled: u64,
-    /// How many bills that are.
+    /// Number of bills.
     pub bills: u64,
-    /// What routers that died may have spent.
+    /// Tokens that routers may have spent before they died.
     pub written_off: u64,
-    /// Granted and not yet settled.
+    /// Granted tokens that are not yet settled.
     pub open: u64,
-    /// By how much any budget was spent above what was paid in; must be zero.
+    /// Tokens spent or granted beyond the balance, summed over the budgets; must be zero.
     pub overspend: u64,
 }
 
@@ -30,12 +30,12 @@
     ///
     /// # Errors
     ///
-    /// When the platform does not answer, or a shard cannot be decoded.
+    /// Returns an error if the platform does not respond, or if a shard cannot be decoded.
     pub async fn read(platform: &PlatformReader) -> eyre::Result<Self> {
         let mut totals = LedgerTotals::default();
         for (key, object) in platform.read_all("ledger/").await? {
             let PlatformObject::Ledger(ledger) = object else {
-                eyre::bail!("{key} is no ledger");
+                eyre::bail!("{key} is not a ledger");
             };
             for account in ledger.budgets.values() {
                 totals.add(account);
@@ -44,7 +44,7 @@
         Ok(totals)
     }
 
-    /// Adds a budget.
+    /// Adds the account of a budget.
     pub fn add(&mut self, account: &BudgetAccount) {
         let paid_in: u64 = account.top_ups.values().sum();
         let taken_out: u64 = account.withdrawals.values().sum();
@@ -64,7 +64,7 @@
         self.overspend += (spent + open).saturating_sub(topped_up);
     }
 
-    /// The totals as pairs.
+    /// Returns the totals as key-value pairs.
     pub fn pairs(&self) -> KeyValues {
         KeyValues::new()
             .with("topped_up", self.topped_up)
--- a/crates/beechsaddle-lab/src/load/load_proof.rs
+++ b/crates/beechsaddle-lab/src/load/load_audit.rs
@@ -1,4 +1,4 @@
-//! The `load_proof` module provides what the platform and the targets say of a run.
+//! The `load_audit` module provides the check of a run against the ledger and the targets.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 use super::{CallerSettings, LedgerTotals, LoadTally, PlatformReader, RunTotals};
 use crate::key_values::KeyValues;
 
-/// How long bills may take to reach the ledger after the last answer.
-const SETTLE_PATIENCE: Duration = Duration::from_secs(30);
+/// How long bills may take to reach the ledger after the last response.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The time between two readings of the ledger.
-const SETTLE_PERIOD: Duration = Duration::from_millis(500);
+/// The time between two reads of the ledger.
+const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the platform and the targets say of a run, beside what its callers saw.
+/// The records of the platform and the targets on a run, to compare with the callers' tally.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LoadProof {
-    /// The ledger's growth, where the platform is known.
+pub struct LoadAudit {
+    /// The ledger's totals, if the address of the platform is set.
     pub ledger: Option<LedgerTotals>,
-    /// What ran, where the targets are known.
+    /// The runs that the targets report, if their addresses are set.
     pub ran: Option<RunTotals>,
 }
 
-impl LoadProof {
-    /// Reads the ledger, with the settled tokens and bills as they were `before` taken off, after
-    /// waiting until it holds at least what the callers were told that their answers cost.
+impl LoadAudit {
+    /// Waits until the ledger has settled at least the usage that responses reported to callers,
+    /// then reads ledger and targets. The settled tokens and bills of `before` are subtracted.
     ///
     /// # Errors
     ///
-    /// When the platform or a target does not answer.
+    /// Returns an error if the platform or a target does not respond.
     pub async fn read(
         settings: &CallerSettings,
         tally: &LoadTally,
@@ -42,10 +42,11 @@
             true => None,
             false => Some(RunTotals::read(&settings.targets).await?),
         };
-        Ok(LoadProof { ledger, ran })
+        Ok(LoadAudit { ledger, ran })
     }
 
-    /// The proof as pairs. `unbilled` are tokens of answers that the ledger does not hold.
+    /// Returns the audit as key-value pairs. `told` counts the tokens that responses reported, and
+    /// `unbilled` those of them that the ledger has not settled.
     pub fn pairs(&self, tally: &LoadTally) -> KeyValues {
         let mut pairs = KeyValues::new();
         if let Some(ran) = &self.ran {
@@ -55,10 +56,10 @@
                 .with("false_not_run", ran.false_not_run(tally));
         }
         if let Some(ledger) = &self.ledger {
-            let told = tally.tokens;
+            let reported = tally.tokens;
             pairs = pairs
-                .with("told", told)
-                .with("unbilled", told.saturating_sub(ledger.settled))
+                .with("told", reported)
+                .with("unbilled", reported.saturating_sub(ledger.settled))
                 .joined(ledger.pairs());
         }
         pairs
@@ -71,7 +72,7 @@
     before: LedgerTotals,
 ) -> eyre::Result<LedgerTotals> {
     let platform = PlatformReader::new(address);
-    let deadline = Instant::now() + SETTLE_PATIENCE;
+    let deadline = Instant::now() + SETTLE_TIMEOUT;
     loop {
         let mut totals = LedgerTotals::read(&platform).await?;
         totals.settled = totals.settled.saturating_sub(before.settled);
@@ -79,6 +80,6 @@
         if totals.settled >= tally.tokens || Instant::now() >= deadline {
             return Ok(totals);
         }
-        sleep(SETTLE_PERIOD).await;
+        sleep(SETTLE_POLL_INTERVAL).await;
     }
 }
--- a/crates/beechsaddle-lab/src/load/load_options.rs
+++ b/crates/beechsaddle-lab/src/load/load_options.rs
@@ -1,39 +1,39 @@
-//! The `load_options` module provides the settings of a run.
+//! The `load_options` module provides the command-line options of a load run.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-use super::{CallMix, CallerPatience, PlanOptions};
+use super::{CallMix, CallerRetryPolicy, PlanOptions};
 
-/// Seconds that a caller waits for one try when nothing else is said.
+/// Timeout of one try in seconds.
 const DEFAULT_TRY_TIMEOUT_S: u64 = 60;
 
-/// The settings of a run, as given on the command line.
+/// The options of a run, as given on the command line.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// The file that says where a running fleet is.
+    /// The file with the addresses of a running fleet.
     pub callers: Option<PathBuf>,
-    /// The file that describes a deployment to start.
+    /// The description file of a deployment to start.
     pub fleet: Option<PathBuf>,
-    /// Whether routers and the platform fail all the while.
+    /// Whether faults of routers and the platform are injected during the run.
     pub soak: bool,
-    /// Calls a second.
+    /// Mean arrival rate in calls per second.
     pub rate: f64,
-    /// How long calls are sent.
+    /// The time during which calls are sent.
     pub span: Duration,
-    /// The seed.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The shares of the kinds of calls.
+    /// Relative weights of the call kinds.
     pub mix: CallMix,
-    /// The exponent of the workspaces' shares.
+    /// Zipf exponent of the workspaces' shares.
     pub skew: f64,
-    /// The most tokens that a call generates.
+    /// Upper bound of a call's `max_tokens`.
     pub max_tokens: u64,
-    /// How callers go on without an answer.
-    pub patience: CallerPatience,
-    /// Where to draw the chart.
+    /// The policy by which callers retry calls.
+    pub retry_policy: CallerRetryPolicy,
+    /// Output path of the latency chart.
     pub plot: Option<PathBuf>,
 }
 
@@ -93,7 +93,7 @@
             .arg(path_arg("plot", "SVG file for a chart of the latencies"))
     }
 
-    /// Reads the arguments; all have defaults or may be absent.
+    /// Reads the arguments. Each has a default or is optional.
     pub fn read(matches: &ArgMatches) -> Self {
         let seconds = read_number(matches, "seconds", 20);
         LoadOptions {
@@ -106,7 +106,7 @@
             mix: read_number(matches, "mix", CallMix::default()),
             skew: read_number(matches, "skew", 1.1),
             max_tokens: read_number(matches, "max-tokens", 64),
-            patience: CallerPatience {
+            retry_policy: CallerRetryPolicy {
                 retries: read_number(matches, "retries", 0),
                 try_timeout: Duration::from_secs(DEFAULT_TRY_TIMEOUT_S),
             },
@@ -114,7 +114,7 @@
         }
     }
 
-    /// What the calls are drawn from when `workspaces` send them.
+    /// Returns the plan options for a fleet with this number of workspaces.
     pub fn plan(&self, workspaces: usize) -> PlanOptions {
         PlanOptions {
             seed: self.seed,
--- a/crates/beechsaddle-lab/src/load/load_plot.rs
+++ b/crates/beechsaddle-lab/src/load/load_plot.rs
@@ -1,4 +1,4 @@
-//! The `load_plot` module provides the chart of a run.
+//! The `load_plot` module provides the latency chart of a run.
 
 use std::path::Path;
 
@@ -14,23 +14,23 @@
 /// The size of a chart in pixels.
 const CHART_SIZE: (u32, u32) = (960, 540);
 
-/// The last quantile drawn; beyond it a run of a minute has few samples.
+/// The highest quantile drawn. Beyond it a run of one minute has too few samples.
 const LAST_QUANTILE: f64 = 0.9999;
 
-/// How many points a curve has.
+/// Number of points of a curve.
 const CURVE_POINTS: u32 = 200;
 
 /// The lowest latency drawn, in milliseconds.
 const LOWEST_MS: f64 = 0.1;
 
-/// A curve: what it shows, its samples in microseconds and its colour.
+/// A curve: its label, its samples in microseconds and its colour.
 type LatencyCurve<'a> = (&'static str, &'a Histogram<u64>, RGBColor);
 
-/// Draws the latencies of a run over their quantiles into an SVG file.
+/// Writes an SVG chart of the latencies of a run by quantile.
 ///
 /// # Errors
 ///
-/// When the file cannot be written.
+/// Returns an error if the file cannot be written.
 pub fn draw_chart(outcome: &LoadOutcome, path: &Path) -> eyre::Result<()> {
     let tally = &outcome.tally;
     let curves = [
@@ -38,7 +38,7 @@
         ("to the whole answer", &tally.whole, RED),
         ("longest wait between tokens", &tally.gap, GREEN),
     ];
-    // The library's errors borrow the file's name, so that only their text can be passed on.
+    // The errors of plotters borrow the path, so only their text can be returned.
     draw_curves(path, &curves).map_err(|error| eyre!("{}: {error}", path.display()))
 }
 
--- a/crates/beechsaddle-lab/src/load/load_report.rs
+++ b/crates/beechsaddle-lab/src/load/load_report.rs
@@ -1,14 +1,14 @@
-//! The `load_report` module provides the line that sums up a run.
+//! The `load_report` module provides the summary line of a run.
 
 use hdrhistogram::Histogram;
 
 use super::LoadOutcome;
 use crate::key_values::KeyValues;
 
-/// The quantiles that a report gives, by name.
+/// The reported quantiles, by label.
 const QUANTILES: [(&str, f64); 3] = [("p50", 0.50), ("p95", 0.95), ("p99", 0.99)];
 
-/// The counts and latencies of a run.
+/// Returns the counts and latencies of a run.
 pub fn report_line(outcome: &LoadOutcome) -> KeyValues {
     let tally = &outcome.tally;
     let mut line = KeyValues::new()
--- a/crates/beechsaddle-lab/src/load/load_run.rs
+++ b/crates/beechsaddle-lab/src/load/load_run.rs
@@ -1,4 +1,4 @@
-//! The `load_run` module provides the sending of a plan.
+//! The `load_run` module provides the execution of a plan.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,35 +8,35 @@
 
 use super::{ArrivalPlan, CallOutcome, CallResult, CallSender, LoadTally};
 
-/// How often a progress line goes to the standard error stream.
+/// The time between two progress lines on standard error.
 const PROGRESS_PERIOD: Duration = Duration::from_secs(2);
 
-/// How many results may wait to be counted; counting is far quicker than answering.
+/// Capacity of the queue of results to count; counting is far faster than the calls themselves.
 const RESULT_QUEUE: usize = 65_536;
 
-/// What a run gave.
+/// The outcome of a run.
 #[derive(Debug)]
 pub struct LoadOutcome {
-    /// Calls sent.
+    /// Number of calls sent.
     pub sent: u64,
-    /// How long sending and waiting for the last answer took.
+    /// Time from the first sending to the last outcome.
     pub elapsed: Duration,
-    /// The count.
+    /// The outcomes of all calls.
     pub tally: LoadTally,
 }
 
-/// Sends all calls of a plan at their times and waits until each has ended.
+/// Sends all calls of a plan at their planned times and waits until each has ended.
 ///
 /// # Errors
 ///
-/// When a histogram cannot be made.
+/// Returns an error if a histogram cannot be created.
 pub async fn run_plan(plan: ArrivalPlan, sender: CallSender) -> eyre::Result<LoadOutcome> {
     let start = Instant::now();
     let (results, counted) = mpsc::channel(RESULT_QUEUE);
     let sender = Arc::new(sender);
     let progress = plan.shows_progress();
     let sending = tokio::spawn(send_all(plan, sender, start, results));
-    let tally = count_all(counted, start, progress).await?;
+    let tally = tally_results(counted, start, progress).await?;
     let sent = sending.await?;
     Ok(LoadOutcome {
         sent,
@@ -65,7 +65,7 @@
     sent
 }
 
-async fn count_all(
+async fn tally_results(
     mut results: mpsc::Receiver<CallResult>,
     start: Instant,
     progress: bool,
@@ -87,7 +87,8 @@
     }
 }
 
-// What must never happen is told with its course; there are few such calls, or the run has failed.
+// Outcomes that must never happen are printed with the history of the call. They are few unless
+// the run has failed.
 fn report_fault(result: &CallResult) {
     match &result.outcome {
         CallOutcome::Answered(_) | CallOutcome::Refused(_) => {}
--- a/crates/beechsaddle-lab/src/load/load_tally.rs
+++ b/crates/beechsaddle-lab/src/load/load_tally.rs
@@ -1,52 +1,52 @@
-//! The `load_tally` module provides the count of a run.
+//! The `load_tally` module provides the outcome counts and latencies of a run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-use super::{AnswerTimes, CallOutcome, CallResult};
+use super::{CallOutcome, CallResult, ResponseTimes};
 
-/// The longest latency that is told apart, in microseconds: ten minutes.
-const LONGEST_US: u64 = 600_000_000;
+/// The highest latency that is recorded, in microseconds: ten minutes.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// Everything that the callers of a run saw.
+/// Counts and latencies of a run, as its callers see them.
 #[derive(Clone, Debug)]
 pub struct LoadTally {
-    /// Calls that ended.
+    /// Number of calls that ended.
     pub ended: u64,
-    /// Calls answered in full.
+    /// Number of calls with a complete response.
     pub answered: u64,
-    /// Refusals that were final, by reason.
+    /// Number of final refusals, by reason.
     pub refused: BTreeMap<String, u64>,
-    /// Calls without any final word after the last try.
+    /// Number of calls without a definite outcome after the last try.
     pub lost: u64,
-    /// Answers of other calls.
+    /// Number of responses that belonged to another call.
     pub crossed: u64,
-    /// Answers that ended as if they were whole.
+    /// Number of truncated responses that ended without a transport error.
     pub short: u64,
-    /// Further tries.
+    /// Number of retries.
     pub retried: u64,
-    /// Idempotency keys of calls that may not be repeated.
-    pub once_keys: Vec<String>,
-    /// Tokens of the answers.
+    /// Idempotency keys of the calls that must not be repeated.
+    pub non_repeatable_keys: Vec<String>,
+    /// Sum of the token usage that responses reported.
     pub tokens: u64,
-    /// The router's ids of tries that were told that they did not run.
+    /// The router's call ids of the tries that were refused as not run.
     pub not_run: Vec<String>,
-    /// Microseconds to the first token of a streamed answer.
+    /// Time to the first token of streamed responses, in microseconds.
     pub first: Histogram<u64>,
-    /// Microseconds to the end of any answer.
+    /// Time to the end of all responses, in microseconds.
     pub whole: Histogram<u64>,
-    /// Microseconds of the longest wait between two tokens of a streamed answer.
+    /// The longest time between two tokens of streamed responses, in microseconds.
     pub gap: Histogram<u64>,
 }
 
 impl LoadTally {
-    /// An empty count.
+    /// Creates an empty tally.
     ///
     /// # Errors
     ///
-    /// When a histogram cannot be made.
+    /// Returns an error if a histogram cannot be created.
     pub fn try_new() -> eyre::Result<Self> {
         Ok(LoadTally {
             ended: 0,
@@ -56,16 +56,16 @@
             crossed: 0,
             short: 0,
             retried: 0,
-            once_keys: Vec::new(),
+            non_repeatable_keys: Vec::new(),
             tokens: 0,
             not_run: Vec::new(),
-            first: Histogram::new_with_bounds(1, LONGEST_US, 3)?,
-            whole: Histogram::new_with_bounds(1, LONGEST_US, 3)?,
-            gap: Histogram::new_with_bounds(1, LONGEST_US, 3)?,
+            first: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)?,
+            whole: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)?,
+            gap: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)?,
         })
     }
 
-    /// Counts a call that ended.
+    /// Adds a call that ended.
     pub fn add(&mut self, result: CallResult) {
         self.ended += 1;
         self.retried += u64::from(result.tries.saturating_sub(1));
@@ -80,16 +80,16 @@
         }
         self.not_run.extend(result.not_run);
         if !result.repeatable {
-            self.once_keys.push(result.call.key);
+            self.non_repeatable_keys.push(result.call.key);
         }
     }
 
-    /// All final refusals.
+    /// Returns the number of final refusals for any reason.
     pub fn refusals(&self) -> u64 {
         self.refused.values().sum()
     }
 
-    fn add_answer(&mut self, result: &CallResult, times: &AnswerTimes) {
+    fn add_answer(&mut self, result: &CallResult, times: &ResponseTimes) {
         self.answered += 1;
         self.tokens += times.tokens;
         self.whole.saturating_record(micros(times.whole));
@@ -101,5 +101,5 @@
 }
 
 fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(LONGEST_US)
+    u64::try_from(span.as_micros()).unwrap_or(MAX_LATENCY_US)
 }
--- a/crates/beechsaddle-lab/src/load/planned_call.rs
+++ b/crates/beechsaddle-lab/src/load/planned_call.rs
@@ -1,24 +1,23 @@
-//! The `planned_call` module provides one call that the load tool is going to send.
+//! The `planned_call` module provides a call that the load tool will send.
 
 use std::time::Duration;
 
 use super::CallKind;
 
-/// A call with everything about it fixed in advance, so that one seed gives one load.
+/// A call whose parameters are all fixed in advance, so that a load is reproducible from its seed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedCall {
-    /// Counts the calls of a run.
+    /// Sequence number of the call in its run.
     pub number: u64,
-    /// When it is sent, after the start of the run.
+    /// Planned sending time, from the start of the run.
     pub offset: Duration,
-    /// What kind it is.
     pub kind: CallKind,
-    /// The index of the workspace that sends it.
+    /// Index of the workspace that sends it.
     pub workspace: usize,
-    /// Its idempotency key, which is also the mark that its answer has to bear.
+    /// Its idempotency key, which is also the mark that its response must contain.
     pub key: String,
-    /// The index of the prompt's shared beginning within the workspace.
-    pub opening: u64,
-    /// The most tokens that it may generate.
+    /// Index of the shared prompt prefix within the workspace.
+    pub prefix: u64,
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
 }
--- a/crates/beechsaddle-lab/src/load/platform_reader.rs
+++ b/crates/beechsaddle-lab/src/load/platform_reader.rs
@@ -1,4 +1,4 @@
-//! The `platform_reader` module provides reading of the objects at the platform.
+//! The `platform_reader` module provides a reader of the objects stored at the platform.
 
 use std::sync::Arc;
 
@@ -13,10 +13,10 @@
 
 use super::HttpClient;
 
-/// How many keys the platform lists at most in one answer.
+/// Maximum number of keys in one list response of the platform.
 const LIST_PAGE: usize = 1_000;
 
-/// Reads a platform, or any other stand-in that answers in JSON.
+/// Reads objects of a platform, or JSON pages of any stand-in.
 #[derive(Clone, Debug)]
 pub struct PlatformReader {
     address: String,
@@ -34,7 +34,7 @@
 }
 
 impl PlatformReader {
-    /// A reader of the server at `address`.
+    /// Creates a reader of the server at `address`.
     pub fn new(address: impl Into<String>) -> Self {
         PlatformReader {
             address: address.into(),
@@ -42,15 +42,15 @@
         }
     }
 
-    /// All objects under a prefix, in the order of their keys.
+    /// Returns all objects under a key prefix, in key order.
     ///
     /// # Errors
     ///
-    /// When the platform does not answer, or an object cannot be decoded.
+    /// Returns an error if the platform does not respond, or if an object cannot be decoded.
     pub async fn read_all(&self, prefix: &str) -> eyre::Result<Vec<(String, PlatformObject)>> {
         let mut objects = Vec::new();
         for key in self.list(prefix).await? {
-            // An object may be deleted between the list and here.
+            // The object may have been deleted since it was listed.
             let Some(bytes) = self.get(&format!("/objects/{key}")).await? else {
                 continue;
             };
@@ -60,22 +60,22 @@
         Ok(objects)
     }
 
-    /// A JSON answer.
+    /// Reads a JSON page.
     ///
     /// # Errors
     ///
-    /// When the server does not answer, or not in this form.
+    /// Returns an error if the server does not respond, or if the page does not decode as `T`.
     pub async fn read_json<T: DeserializeOwned>(&self, path: &str) -> eyre::Result<T> {
         let bytes = self.get(path).await?;
         let bytes = bytes.ok_or_else(|| eyre!("{} has no {path}", self.address))?;
         serde_json::from_slice(&bytes).wrap_err_with(|| format!("{}{path}", self.address))
     }
 
-    /// Sends a body and gives the status of the answer.
+    /// Posts a body and returns the response status.
     ///
     /// # Errors
     ///
-    /// When the server does not answer.
+    /// Returns an error if the server does not respond.
     pub async fn post(&self, path: &str, body: impl Into<Bytes>) -> eyre::Result<StatusCode> {
         let request = Request::post(path)
             .header("host", &self.address)
@@ -107,7 +107,7 @@
         let (response, connection) = self.client.send(&self.address, request).await?;
         let status = response.status();
         let body = response.into_body().collect().await?.to_bytes();
-        self.client.give_back(&self.address, connection);
+        self.client.release_connection(&self.address, connection);
         match status {
             StatusCode::OK => Ok(Some(body)),
             StatusCode::NOT_FOUND => Ok(None),
--- a/crates/beechsaddle-lab/src/load/answer_reader.rs
+++ b/crates/beechsaddle-lab/src/load/response_reader.rs
@@ -1,4 +1,4 @@
-//! The `answer_reader` module provides the check that an answer is whole and the caller's own.
+//! The `response_reader` module provides checks that a response is complete and its call's own.
 
 use std::time::{Duration, Instant};
 
@@ -7,42 +7,42 @@
 use hyper::body::Incoming;
 use serde_json::Value;
 
-use super::{AnswerTimes, CallOutcome, ReadRefusal, SseLines};
+use super::{CallOutcome, ParsedRefusal, ResponseTimes, SseLines};
 use crate::stand_in::{ChatProof, PlainEcho};
 
-/// Reads the answer of one call.
+/// Reads and checks the response to one call.
 #[derive(Clone, Debug)]
-pub struct AnswerReader {
-    /// The mark that the answer has to bear.
+pub struct ResponseReader {
+    /// The mark that the response must contain.
     pub mark: String,
-    /// When the call should have been sent.
+    /// The planned sending time of the call.
     pub intended: Instant,
 }
 
-impl AnswerReader {
-    /// Reads a refusal; one that cannot be read counts as broken.
+impl ResponseReader {
+    /// Reads a refusal. One that cannot be parsed is reported as `Broken`.
     pub async fn read_refusal(&self, body: Incoming) -> CallOutcome {
-        match read_whole(body).await {
+        match read_body(body).await {
             Some(body) => parse_refusal(&body).map_or(CallOutcome::Broken, CallOutcome::Refused),
             None => CallOutcome::Broken,
         }
     }
 
-    /// Reads the answer of a plain service, which has to give the mark back.
+    /// Reads the response of a plain service, which must echo the mark.
     pub async fn read_plain(&self, body: Incoming, tokens: u64) -> CallOutcome {
-        let Some(body) = read_whole(body).await else {
+        let Some(body) = read_body(body).await else {
             return CallOutcome::Broken;
         };
         match serde_json::from_slice::<PlainEcho>(&body) {
-            Ok(echo) if bears_mark(&echo.body, &self.mark) => self.answered(tokens),
+            Ok(echo) if contains_mark(&echo.body, &self.mark) => self.answered(tokens),
             Ok(_) => CallOutcome::Crossed,
             Err(_) => CallOutcome::Short,
         }
     }
 
-    /// Reads a chat answer that comes in one piece.
+    /// Reads a buffered chat response.
     pub async fn read_chat(&self, body: Incoming) -> CallOutcome {
-        let Some(body) = read_whole(body).await else {
+        let Some(body) = read_body(body).await else {
             return CallOutcome::Broken;
         };
         let Ok(value) = serde_json::from_slice::<Value>(&body) else {
@@ -51,10 +51,10 @@
         let choice = &value["choices"][0];
         let content = choice["message"]["content"].as_str().unwrap_or_default();
         let ended = choice["finish_reason"].is_string();
-        self.judge(content, ended, value["usage"]["total_tokens"].as_u64())
+        self.classify(content, ended, value["usage"]["total_tokens"].as_u64())
     }
 
-    /// Reads a streamed chat answer.
+    /// Reads a streamed chat response.
     pub async fn read_stream(&self, mut body: Incoming) -> CallOutcome {
         let mut lines = SseLines::default();
         let mut stream = StreamState::default();
@@ -72,9 +72,9 @@
             }
         }
         let ended = stream.done && stream.finished;
-        let outcome = self.judge(&stream.content, ended, stream.tokens);
+        let outcome = self.classify(&stream.content, ended, stream.tokens);
         match outcome {
-            CallOutcome::Answered(times) => CallOutcome::Answered(AnswerTimes {
+            CallOutcome::Answered(times) => CallOutcome::Answered(ResponseTimes {
                 first: stream.first.unwrap_or(times.whole),
                 longest_gap: stream.longest_gap,
                 ..times
@@ -86,7 +86,7 @@
         }
     }
 
-    fn judge(&self, content: &str, ended: bool, tokens: Option<u64>) -> CallOutcome {
+    fn classify(&self, content: &str, ended: bool, tokens: Option<u64>) -> CallOutcome {
         let Some(proof) = ChatProof::read(content) else {
             return CallOutcome::Short;
         };
@@ -101,7 +101,7 @@
 
     fn answered(&self, tokens: u64) -> CallOutcome {
         let whole = self.intended.elapsed();
-        CallOutcome::Answered(AnswerTimes {
+        CallOutcome::Answered(ResponseTimes {
             first: whole,
             whole,
             longest_gap: Duration::ZERO,
@@ -110,15 +110,15 @@
     }
 }
 
-/// Whether `content` bears exactly this mark: `load-1-2` is not the mark of `load-1-23`.
-pub fn bears_mark(content: &str, mark: &str) -> bool {
+/// Whether `content` contains exactly this mark: `load-1-23` does not contain `load-1-2`.
+pub fn contains_mark(content: &str, mark: &str) -> bool {
     content.match_indices(mark).any(|(start, _)| {
         let rest = &content[start + mark.len()..];
         !rest.starts_with(|character: char| character.is_ascii_alphanumeric())
     })
 }
 
-/// What has come of a stream so far.
+/// The part of a stream that has been received so far.
 #[derive(Debug, Default)]
 struct StreamState {
     content: String,
@@ -157,14 +157,14 @@
     }
 }
 
-async fn read_whole(body: Incoming) -> Option<Bytes> {
+async fn read_body(body: Incoming) -> Option<Bytes> {
     body.collect().await.ok().map(|body| body.to_bytes())
 }
 
-fn parse_refusal(body: &[u8]) -> Option<ReadRefusal> {
+fn parse_refusal(body: &[u8]) -> Option<ParsedRefusal> {
     let value: Value = serde_json::from_slice(body).ok()?;
     let error = &value["error"];
-    Some(ReadRefusal {
+    Some(ParsedRefusal {
         reason: error["reason"].as_str()?.to_owned(),
         not_run: error["ran"].as_str()? == "no",
         retry_after_ms: error["retry_after_ms"].as_u64(),
--- a/crates/beechsaddle-lab/src/load/run_totals.rs
+++ b/crates/beechsaddle-lab/src/load/run_totals.rs
@@ -1,29 +1,29 @@
-//! The `run_totals` module provides what ran at all targets together.
+//! The `run_totals` module provides the sum of the run reports of all targets.
 
 use std::collections::BTreeMap;
 
 use super::{LoadTally, PlatformReader};
 use crate::stand_in::RunReport;
 
-/// What ran, by the targets' own word.
+/// The runs that the targets report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunTotals {
-    /// Runs by the router's id of the call.
+    /// Number of runs by the router's id of the call.
     calls: BTreeMap<String, u64>,
-    /// Runs by idempotency key.
+    /// Number of runs by idempotency key.
     keys: BTreeMap<String, u64>,
-    /// Runs that began.
+    /// Number of runs that started.
     pub started: u64,
-    /// Tokens generated.
+    /// Number of tokens generated.
     pub tokens: u64,
 }
 
 impl RunTotals {
-    /// Asks all targets.
+    /// Reads the reports of all targets.
     ///
     /// # Errors
     ///
-    /// When one does not answer.
+    /// Returns an error if a target does not respond.
     pub async fn read(targets: &[String]) -> eyre::Result<Self> {
         let mut totals = RunTotals::default();
         for address in targets {
@@ -46,22 +46,22 @@
         self.tokens += report.tokens;
     }
 
-    /// Calls that may not be repeated, and ran more than once all the same. A key of any other call
-    /// may run again, when its first answer was lost.
+    /// Returns the number of non-repeatable calls that ran more than once. Repeatable calls are
+    /// left out, as they may run again after a lost response.
     pub fn doubled(&self, tally: &LoadTally) -> u64 {
         let runs = |key: &String| self.keys.get(key).copied().unwrap_or(0);
         let doubled = |key: &&String| runs(key) > 1;
-        tally.once_keys.iter().filter(doubled).count() as u64
+        tally.non_repeatable_keys.iter().filter(doubled).count() as u64
     }
 
-    /// Refusals that said "not run" of a call that did run.
+    /// Returns the number of refusals that stated "not run" although the call ran.
     pub fn false_not_run(&self, tally: &LoadTally) -> u64 {
         let ran = |call: &&String| self.calls.contains_key(call.as_str());
         tally.not_run.iter().filter(ran).count() as u64
     }
 }
 
-// An attempt is called after its call, with its ordinal after the last point.
+// An attempt id is the id of its call, a dot and the ordinal of the attempt.
 fn call_of(attempt: &str) -> String {
     let (call, _) = attempt.rsplit_once('.').unwrap_or((attempt, ""));
     call.to_owned()
--- a/crates/beechsaddle-lab/src/load/share_table.rs
+++ b/crates/beechsaddle-lab/src/load/share_table.rs
@@ -1,15 +1,15 @@
-//! The `share_table` module provides a skewed choice among few items.
+//! The `share_table` module provides a Zipf-distributed choice among few items.
 
 use rand::Rng;
 
-/// Shares after Zipf's law: the item of rank `r` gets a share in proportion to `1 / r^exponent`.
+/// Zipf-distributed shares: the item of rank `r` has a share proportional to `1 / r^exponent`.
 #[derive(Clone, Debug)]
 pub struct ShareTable {
     sums: Vec<f64>,
 }
 
 impl ShareTable {
-    /// A table of `count` items, at least one; an exponent of zero gives all the same share.
+    /// Creates a table of `count` items, at least one. With exponent zero all shares are equal.
     pub fn new(count: usize, exponent: f64) -> Self {
         let mut sum = 0.0;
         let sums = (1..=count.max(1))
--- a/crates/beechsaddle-lab/src/load/soak_plan.rs
+++ b/crates/beechsaddle-lab/src/load/soak_plan.rs
@@ -1,4 +1,4 @@
-//! The `soak_plan` module provides the faults of a soak, in the order of their times.
+//! The `soak_plan` module provides the fault schedule of a soak.
 
 use std::time::Duration;
 
@@ -6,47 +6,48 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The time between two routers that are killed or frozen.
+/// The time between two faults of routers.
 const ROUTER_PERIOD: Duration = Duration::from_secs(10);
 
-/// How long a killed router stays away.
-const RESTART_AFTER: Duration = Duration::from_secs(3);
+/// How long a killed router stays down.
+const RESTART_DELAY: Duration = Duration::from_secs(3);
 
-/// How long a router is frozen: from a stall that nobody notices to one that peers act on.
+/// How long a router is frozen: from a stall that peers do not detect to one that they react to.
 const FREEZE_MS: std::ops::Range<u64> = 500..8_000;
 
-/// The time between two faults of the platform.
+/// The time between the starts of two faults of the platform.
 const PLATFORM_PERIOD: Duration = Duration::from_secs(35);
 
-/// How long a fault of the platform lasts.
+/// Duration of a fault of the platform.
 const PLATFORM_SPAN: Duration = Duration::from_secs(12);
 
-/// One fault, or its end.
+/// The start or end of a fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SoakStep {
-    /// SIGKILL.
+    /// Sends SIGKILL to a router.
     Kill(String),
-    /// The router starts again.
+    /// Restarts a killed router.
     Restart(String),
-    /// SIGSTOP.
+    /// Sends SIGSTOP to a router.
     Freeze(String),
-    /// SIGCONT.
+    /// Sends SIGCONT to a frozen router.
     Thaw(String),
-    /// The platform takes no connections.
+    /// The platform refuses connections.
     PlatformAway(Duration),
-    /// The platform's answers to writes get lost, after the writes took effect.
+    /// Writes to the platform take effect, but some of their responses are lost.
     AnswersLost(Duration),
 }
 
-/// The faults of a soak, each with its time after the start.
+/// The fault schedule of a soak.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SoakPlan {
-    /// The steps in the order of their times.
+    /// The steps with their times from the start, in time order.
     pub steps: Vec<(Duration, SoakStep)>,
 }
 
 impl SoakPlan {
-    /// Faults for `span`, all over by its end; the same seed gives the same faults.
+    /// Creates the faults of a soak of `span`, all of which end within it. The same seed gives the
+    /// same faults.
     pub fn new(seed: u64, routers: &[String], span: Duration) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut steps = Vec::new();
@@ -73,7 +74,7 @@
 ) -> [(Duration, SoakStep); 2] {
     let name = router.to_owned();
     if kill {
-        let back = time + RESTART_AFTER;
+        let back = time + RESTART_DELAY;
         [
             (time, SoakStep::Kill(name.clone())),
             (back, SoakStep::Restart(name)),
--- a/crates/beechsaddle-lab/src/load/soak_run.rs
+++ b/crates/beechsaddle-lab/src/load/soak_run.rs
@@ -1,4 +1,4 @@
-//! The `soak_run` module provides a load on a fleet whose parts fail all the while.
+//! The `soak_run` module provides a load run with fault injection.
 
 use std::time::{Duration, Instant};
 
@@ -6,38 +6,39 @@
 use tokio::time::sleep_until;
 
 use super::{ArrivalPlan, CallSender, LedgerTotals, PlatformReader, run_plan};
-use super::{CallerSettings, Deployment, LoadOptions, LoadOutcome, LoadProof, SoakPlan, SoakStep};
+use super::{CallerSettings, Deployment, LoadAudit, LoadOptions, LoadOutcome, SoakPlan, SoakStep};
 use crate::fleet::LabFleet;
 use crate::stand_in::platform::{CallScope, FaultRule, PlatformFault, PlatformFaults};
 
-/// The share of write answers that get lost, in thousandths.
+/// The share of write responses that are lost, in thousandths.
 const LOST_PERMILLE: u32 = 300;
 
 /// How long a router may take to shut down after the last call.
-const DRAIN_PATIENCE: Duration = Duration::from_secs(60);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long a router may take to be ready again.
-const READY_PATIENCE: Duration = Duration::from_secs(30);
+/// How long a router may take to become ready again.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a soak gave.
+/// The outcome of a soak.
 #[derive(Debug)]
 pub struct SoakOutcome {
-    /// What the callers saw.
+    /// The outcome of the load on the callers' side.
     pub load: LoadOutcome,
-    /// What platform and targets say.
-    pub proof: LoadProof,
-    /// Faults that were brought about.
+    /// The records of the platform and the targets.
+    pub audit: LoadAudit,
+    /// Number of steps of the fault schedule.
     pub faults: u64,
-    /// Routers that did not shut down with exit code 0 at the end.
+    /// Number of routers that did not exit with code 0 at the final shutdown.
     pub unclean_exits: u64,
 }
 
-/// Runs a load against a deployment while routers are killed and frozen, and the platform goes away
-/// and loses answers. All routers are shut down gracefully at the end, before the ledger is read.
+/// Runs a load against a deployment while routers are killed and frozen, and the platform refuses
+/// connections or loses responses. At the end all routers are shut down gracefully before the
+/// ledger is read.
 ///
 /// # Errors
 ///
-/// When the fleet does not start, or cannot be read at the end.
+/// Returns an error if the fleet does not start, or if the ledger or a target cannot be read.
 pub async fn run_soak(options: &LoadOptions, deployment: &Deployment) -> eyre::Result<SoakOutcome> {
     let mut fleet = deployment.start().await?;
     let callers = deployment.callers(&fleet);
@@ -45,13 +46,13 @@
     let plan = SoakPlan::new(options.seed, &routers, options.span);
     let load = tokio::spawn(send_load(options.clone(), callers.clone()));
     let faults = plan.steps.len() as u64;
-    bring_about(&mut fleet, plan).await?;
+    inject_faults(&mut fleet, plan).await?;
     let load = load.await??;
     let unclean_exits = drain(&mut fleet, &routers).await?;
-    let proof = LoadProof::read(&callers, &load.tally, LedgerTotals::default()).await?;
+    let audit = LoadAudit::read(&callers, &load.tally, LedgerTotals::default()).await?;
     Ok(SoakOutcome {
         load,
-        proof,
+        audit,
         faults,
         unclean_exits,
     })
@@ -59,11 +60,11 @@
 
 async fn send_load(options: LoadOptions, callers: CallerSettings) -> eyre::Result<LoadOutcome> {
     let plan = ArrivalPlan::new(options.plan(callers.workspaces.len()));
-    let sender = CallSender::new(callers.into(), options.patience);
+    let sender = CallSender::new(callers.into(), options.retry_policy);
     run_plan(plan, sender).await
 }
 
-async fn bring_about(fleet: &mut LabFleet, plan: SoakPlan) -> eyre::Result<()> {
+async fn inject_faults(fleet: &mut LabFleet, plan: SoakPlan) -> eyre::Result<()> {
     let start = Instant::now();
     for (time, step) in plan.steps {
         sleep_until((start + time).into()).await;
@@ -73,8 +74,8 @@
             SoakStep::Restart(host) => fleet.start_router(&host)?,
             SoakStep::Freeze(host) => fleet.process(&host)?.freeze()?,
             SoakStep::Thaw(host) => fleet.process(&host)?.thaw()?,
-            SoakStep::PlatformAway(span) => set_faults(fleet, away(span)).await?,
-            SoakStep::AnswersLost(span) => set_faults(fleet, lost_answers(span)).await?,
+            SoakStep::PlatformAway(span) => set_faults(fleet, platform_outage(span)).await?,
+            SoakStep::AnswersLost(span) => set_faults(fleet, lost_responses(span)).await?,
         }
     }
     Ok(())
@@ -87,17 +88,17 @@
     if status.is_success() {
         return Ok(());
     }
-    Err(eyre!("the platform took no faults: {status}"))
+    Err(eyre!("the platform rejected the faults: {status}"))
 }
 
-fn away(span: Duration) -> PlatformFaults {
+fn platform_outage(span: Duration) -> PlatformFaults {
     PlatformFaults {
         refuse_ms: span.as_millis() as u64,
         ..PlatformFaults::default()
     }
 }
 
-fn lost_answers(span: Duration) -> PlatformFaults {
+fn lost_responses(span: Duration) -> PlatformFaults {
     let rule = FaultRule {
         scope: CallScope::Writes,
         permille: LOST_PERMILLE,
@@ -110,18 +111,18 @@
     }
 }
 
-// Shuts all routers down one after another, as an operator does in a rolling restart, so that each
-// can hand over to the next. The last one has nobody left and writes what it has by itself.
+// Shuts all routers down one after another, as in a rolling restart, so that each can hand over
+// its state to the next. The last one has no peer left and writes its state to the ledger itself.
 async fn drain(fleet: &mut LabFleet, routers: &[String]) -> eyre::Result<u64> {
     let mut unclean = 0;
     for host in routers {
-        fleet.wait_ready(host, READY_PATIENCE).await?;
+        fleet.wait_ready(host, READY_TIMEOUT).await?;
         fleet.process(host)?.terminate()?;
-        let status = fleet.process(host)?.wait(DRAIN_PATIENCE)?;
+        let status = fleet.process(host)?.wait(DRAIN_TIMEOUT)?;
         if !status.is_some_and(|status| status.success()) {
             eprintln!(
                 "router={host} exit={status:?} log={:?}",
-                fleet.log_end(host)
+                fleet.log_tail(host)
             );
             unclean += 1;
         }
--- a/crates/beechsaddle-lab/src/load/sse_lines.rs
+++ b/crates/beechsaddle-lab/src/load/sse_lines.rs
@@ -1,18 +1,18 @@
-//! The `sse_lines` module provides the data lines of server-sent events.
+//! The `sse_lines` module provides a parser of the data lines of server-sent events.
 
-/// Cuts arriving bytes into lines and gives the payload of each `data:` line.
+/// Splits received bytes into lines and returns the payload of each `data:` line.
 #[derive(Debug, Default)]
 pub struct SseLines {
     pending: Vec<u8>,
 }
 
 impl SseLines {
-    /// Takes bytes in the order of their arrival.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
 
-    /// The payload of the next whole `data:` line.
+    /// Returns the payload of the next complete `data:` line.
     pub fn next_data(&mut self) -> Option<String> {
         loop {
             let end = self.pending.iter().position(|byte| *byte == b'\n')?;
--- a/crates/beechsaddle-lab/src/main.rs
+++ b/crates/beechsaddle-lab/src/main.rs
@@ -14,7 +14,7 @@
         Some(("measure", matches)) => measure::run(matches),
         Some(("soak", matches)) => soak::run(matches),
         Some(("router", matches)) => fleet::run_router(matches),
-        Some((name, _)) => eyre::bail!("subcommand {name} has no code"),
+        Some((name, _)) => eyre::bail!("subcommand {name} is not implemented"),
         None => eyre::bail!("a subcommand is needed, see --help"),
     }
 }
--- a/crates/beechsaddle-lab/src/measure/idle_streams.rs
+++ b/crates/beechsaddle-lab/src/measure/idle_streams.rs
@@ -50,7 +50,7 @@
             kind: CallKind::StreamedChat,
             workspace: 0,
             key: format!("idle-{number}"),
-            opening: 0,
+            prefix: 0,
             max_tokens: 100,
         };
         let request = build_request(&self.settings, &call, false)?;
--- a/crates/beechsaddle-lab/src/measure/overhead.rs
+++ b/crates/beechsaddle-lab/src/measure/overhead.rs
@@ -9,7 +9,7 @@
 use crate::fleet::LabFleet;
 use crate::key_values::KeyValues;
 use crate::load::{
-    ArrivalPlan, CallMix, CallSender, CallerPatience, CallerSettings, LoadOutcome, PlanOptions,
+    ArrivalPlan, CallMix, CallSender, CallerRetryPolicy, CallerSettings, LoadOutcome, PlanOptions,
     run_plan,
 };
 
@@ -120,7 +120,7 @@
 }
 
 fn sender(settings: &CallerSettings) -> CallSender {
-    let retry_policy = CallerPatience {
+    let retry_policy = CallerRetryPolicy {
         retries: 0,
         try_timeout: Duration::from_secs(30),
     };
--- a/crates/beechsaddle-lab/src/measure/slopes.rs
+++ b/crates/beechsaddle-lab/src/measure/slopes.rs
@@ -13,7 +13,7 @@
 use super::run_async::run_async;
 use super::small_fleet::FleetSize;
 use crate::load::{
-    ArrivalPlan, CallMix, CallSender, CallerPatience, CallerSettings, PlanOptions, run_plan,
+    ArrivalPlan, CallMix, CallSender, CallerRetryPolicy, CallerSettings, PlanOptions, run_plan,
 };
 
 /// The time before measuring, in which routers discover each other and probe the targets.
@@ -163,7 +163,7 @@
         max_tokens: 1,
         progress: false,
     });
-    let retry_policy = CallerPatience {
+    let retry_policy = CallerRetryPolicy {
         retries: 0,
         try_timeout: Duration::from_secs(30),
     };
--- a/crates/beechsaddle-lab/src/soak/call_load.rs
+++ b/crates/beechsaddle-lab/src/soak/call_load.rs
@@ -10,26 +10,27 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::time::{sleep, timeout};
 
-use super::call_book::{BookedCall, CallBook, SoakKind};
+use super::call_log::{CallLog, RecordedCall, SoakKind};
 use super::soak_fleet::WORKSPACES;
 use super::soak_target::CRASH_MARK;
 
-/// How long a caller waits for an answer, in milliseconds.
+/// Deadline of a call in milliseconds.
 const DEADLINE_MS: u64 = 2_500;
 
-/// The part of streams whose bodies crash their targets, where some do.
-const CRASHING_PART: f64 = 0.01;
+/// Share of streams whose bodies crash their targets, if this is enabled.
+const CRASHING_SHARE: f64 = 0.01;
 
-/// Tells the random numbers of bodies from those of calls, which stay the same for a seed.
-const BODY_STREAM: u64 = 0xb0d1;
+/// Separates the random numbers of bodies from those of calls, so that the calls of a seed do not
+/// change with the bodies.
+const BODY_SEED: u64 = 0xb0d1;
 
-/// Callers that call one after the other, on connections that they keep while these work.
+/// Callers, each of which sends one call at a time and reuses its connection while it is open.
 #[derive(Clone)]
 pub struct CallLoad {
-    /// What they see.
-    pub book: CallBook,
-    /// Has them stop after their calls.
-    pub is_over: Arc<AtomicBool>,
+    /// The calls and their responses.
+    pub log: CallLog,
+    /// Set to stop all callers after their current calls.
+    pub is_stopped: Arc<AtomicBool>,
     routers: Vec<SocketAddr>,
     has_bodies: bool,
     /// Whether some calls crash their targets.
@@ -37,24 +38,24 @@
 }
 
 impl CallLoad {
-    /// Callers of some routers that have not called yet.
+    /// Creates the callers of these routers.
     pub fn new(routers: Vec<SocketAddr>, has_crashing: bool) -> Self {
         CallLoad {
-            book: CallBook::default(),
-            is_over: Arc::default(),
+            log: CallLog::default(),
+            is_stopped: Arc::default(),
             routers,
             has_crashing: Arc::new(AtomicBool::new(has_crashing)),
             has_bodies: has_crashing,
         }
     }
 
-    /// Calls until it is over.
+    /// Sends calls until `is_stopped` is set.
     pub async fn run(self, seed: u64, caller: u64) {
         let mut random = ChaCha8Rng::seed_from_u64(seed ^ (caller << 32));
-        let mut bodies = ChaCha8Rng::seed_from_u64(seed ^ (caller << 24) ^ BODY_STREAM);
+        let mut bodies = ChaCha8Rng::seed_from_u64(seed ^ (caller << 24) ^ BODY_SEED);
         let mut link = None;
         let mut number = 0;
-        while !self.is_over.load(Ordering::Relaxed) {
+        while !self.is_stopped.load(Ordering::Relaxed) {
             number += 1;
             let id = format!("{seed}-{caller}-{number}");
             let router = self.routers[random.random_range(0..self.routers.len())];
@@ -65,7 +66,7 @@
             }
             let is_new = link.is_none() || random.random_bool(0.1);
             link = match link.take() {
-                Some(kept) if !is_new => Some(kept),
+                Some(reused) if !is_new => Some(reused),
                 _ => CallerLink::try_connect(router).await.ok(),
             };
             if let Some(open) = &mut link
@@ -77,45 +78,45 @@
         }
     }
 
-    /// Makes a call and writes it down; tells whether the connection goes on.
+    /// Sends and records a call. Returns whether the connection can be reused.
     async fn call_on(
         &self,
         link: &mut CallerLink,
         id: String,
-        mut call: BookedCall,
+        mut call: RecordedCall,
         request: &CallRequest,
     ) -> bool {
-        let patience = Duration::from_millis(request.deadline_ms + 500);
-        let answer = timeout(patience, link.call(request)).await;
-        let mut goes_on = false;
+        let wait_limit = Duration::from_millis(request.deadline_ms + 500);
+        let answer = timeout(wait_limit, link.call(request)).await;
+        let mut is_reusable = false;
         match answer {
             Ok(Ok(reply)) => {
-                goes_on = reply.is_complete && !reply.headers.contains_key("connection");
+                is_reusable = reply.is_complete && !reply.headers.contains_key("connection");
                 call.reply = Some(reply);
             }
             Ok(Err(error)) if error.kind() == std::io::ErrorKind::InvalidData => {
-                self.book
-                    .note_broken(format!("{id}: bytes before its answer"));
+                self.log
+                    .record_violation(format!("{id}: bytes before its response"));
             }
-            // The router ended, or the caller waited long enough: it does not know what became of it.
+            // The router closed the connection, or the caller timed out: the outcome is unknown.
             Ok(Err(_)) | Err(_) => {}
         }
-        self.book.note(id, call);
-        goes_on
+        self.log.record(id, call);
+        is_reusable
     }
 }
 
-/// A body that many share, or now and then one of a few that crash their targets.
+/// Draws one of a few bodies that many calls share, sometimes one that crashes its targets.
 fn draw_body(random: &mut ChaCha8Rng, has_crashing: bool) -> Vec<u8> {
     let number = random.random_range(0..3);
-    match random.random_bool(CRASHING_PART) && has_crashing {
+    match random.random_bool(CRASHING_SHARE) && has_crashing {
         true => [CRASH_MARK, &[number]].concat(),
         false => vec![number],
     }
 }
 
-/// A call with its kind drawn at random.
-pub fn draw_call(random: &mut ChaCha8Rng, id: &str) -> (BookedCall, CallRequest) {
+/// Draws a call of a random kind.
+pub fn draw_call(random: &mut ChaCha8Rng, id: &str) -> (RecordedCall, CallRequest) {
     let kind = match random.random_range(0..4) {
         0 => SoakKind::Idempotent,
         1 => SoakKind::Once,
@@ -123,14 +124,14 @@
         _ => SoakKind::Resumable,
     };
     let (workspace, key, _) = WORKSPACES[usize::from(random.random_bool(0.3))];
-    let mut request = CallRequest::new(kind.line(), id, key);
+    let mut request = CallRequest::new(kind.request_line(), id, key);
     request.deadline_ms = DEADLINE_MS;
     let mut input = 0;
     if kind.is_stream() {
         input = random.random_range(50..2_000);
         request.tokens = Some((input, 18));
     }
-    let call = BookedCall {
+    let call = RecordedCall {
         kind,
         workspace,
         input,
--- a/crates/beechsaddle-lab/src/soak/fault_plan.rs
+++ b/crates/beechsaddle-lab/src/soak/fault_plan.rs
@@ -1,4 +1,4 @@
-//! The `fault_plan` module provides the faults of one seed, in the order of their times.
+//! The `fault_plan` module provides the fault schedule of a seed.
 
 use std::time::Duration;
 
@@ -8,65 +8,63 @@
 
 use super::fault_proxy::PathFault;
 
-/// How many faults there are in a second, on average. They last one to three seconds, so that two or
-/// three overlap.
+/// Mean number of faults per second. They last one to three seconds, so that two or three overlap.
 const FAULTS_PER_S: f64 = 1.2;
 
-/// One fault. Numbers count routers and targets.
+/// A fault. Routers and targets are given by index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SoakFault {
-    /// SIGKILL; the router starts again after the fault's time.
+    /// Sends SIGKILL to a router, which is restarted at the end of the fault.
     Kill(usize),
-    /// SIGTERM; the router starts again when it has ended.
+    /// Sends SIGTERM to a router, which is restarted once it has exited.
     Terminate(usize),
-    /// SIGSTOP, then SIGCONT.
+    /// Sends SIGSTOP to a router, and SIGCONT at the end of the fault.
     Pause(usize),
-    /// The settings file changes, with SIGHUP.
+    /// Changes the settings file of a router and sends it SIGHUP.
     Reload(usize),
-    /// A router's way to the store.
+    /// Faults of a router's connections to the store.
     StorePath(usize, PathFault),
-    /// The ways of others to a router's tokens.
+    /// Faults of the connections over which other routers borrow a router's tokens.
     PeerPath(usize, PathFault),
-    /// The ways to a target.
+    /// Faults of the connections to a target.
     TargetPath(usize, PathFault),
-    /// The store.
+    /// A fault of the store.
     Store(StoreFault),
-    /// The store forgets its history.
+    /// The store compacts its history of changes.
     Compact,
-    /// A target.
+    /// A fault of a target.
     Target(usize, TargetFault),
-    /// A target crashes; another one comes.
+    /// A target crashes and is replaced.
     Crash(usize),
-    /// A target names a limit on requests a second.
+    /// A target sets a limit on requests per second.
     Limit(usize, u32),
-    /// A target's entry says that it leaves; another target comes.
+    /// A target's entry is set to draining, and a replacement is added.
     Replace(usize),
-    /// A target's entry lapses and comes back.
+    /// A target's entry expires and is written again at the end of the fault.
     Lapse(usize),
-    /// A new configuration, with a route that the ones before lack.
+    /// A new configuration is written, with a route that older ones lack.
     Config,
 }
 
-/// A fault, when it begins, and how long it lasts.
+/// A fault with its start time and duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedFault {
-    /// After the start.
+    /// Time from the start of the soak.
     pub at: Duration,
-    /// How long.
+    /// Duration of the fault.
     pub span: Duration,
-    /// What.
     pub fault: SoakFault,
 }
 
-/// The faults of one seed.
+/// The fault schedule of a seed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// In the order of their times.
+    /// The faults, ordered by start time.
     pub faults: Vec<PlannedFault>,
 }
 
 impl FaultPlan {
-    /// Faults for `span`; the same seed gives the same ones.
+    /// Creates the faults of a soak of `span`. The same seed gives the same faults.
     pub fn new(seed: u64, span: Duration, routers: usize, targets: usize) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let count = (span.as_secs_f64() * FAULTS_PER_S) as usize;
@@ -82,10 +80,10 @@
         FaultPlan { faults }
     }
 
-    /// The same with crashes of targets, and limits that they name.
+    /// Adds crashes and rate limits of targets.
     #[must_use]
     pub fn with_target_faults(mut self, seed: u64, span: Duration, targets: usize) -> Self {
-        let mut random = ChaCha8Rng::seed_from_u64(seed ^ TARGET_STREAM);
+        let mut random = ChaCha8Rng::seed_from_u64(seed ^ TARGET_FAULT_SEED);
         let count = (span.as_secs_f64() * TARGET_FAULTS_PER_S) as usize;
         let span_ms = span.as_millis() as u64;
         self.faults.extend((0..count).map(|_| PlannedFault {
@@ -98,13 +96,14 @@
     }
 }
 
-/// How many crashes and limits of targets there are in a second, on average.
+/// Mean number of crashes and rate limits of targets per second.
 const TARGET_FAULTS_PER_S: f64 = 0.6;
 
-/// Tells the random numbers of these faults from those of all others, which stay the same for a seed.
-const TARGET_STREAM: u64 = 0x7a5e;
+/// Separates the random numbers of target faults from those of all others, so that the other
+/// faults of a seed do not change.
+const TARGET_FAULT_SEED: u64 = 0x7a5e;
 
-/// The largest limit that a target names, in requests a second.
+/// The highest limit that a target sets, in requests per second.
 const LIMIT_MAX: u32 = 20;
 
 fn draw_target_fault(random: &mut ChaCha8Rng, targets: usize) -> SoakFault {
@@ -138,8 +137,8 @@
 fn draw_path(random: &mut ChaCha8Rng) -> PathFault {
     match random.random_range(0..4) {
         0 => PathFault::Delayed(Duration::from_millis(random.random_range(5..400))),
-        1 => PathFault::Silent,
-        2 => PathFault::SilentBack,
+        1 => PathFault::Stalled,
+        2 => PathFault::ResponsesStalled,
         _ => PathFault::Reset,
     }
 }
--- a/crates/beechsaddle-lab/src/soak/fault_proxy.rs
+++ b/crates/beechsaddle-lab/src/soak/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! The `fault_proxy` module provides a proxy on loopback that harms what passes it.
+//! The `fault_proxy` module provides a loopback TCP proxy with fault injection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,33 +11,34 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// What a path does to what passes it.
+/// A fault of the connections through a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PathFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It holds each part back for so long.
+    /// Each chunk of bytes is delayed by this time.
     Delayed(Duration),
-    /// Nothing gets through in either direction, and nobody is told. What was sent arrives when the
-    /// path is whole again.
-    Silent,
-    /// Nothing gets through towards the one that connected.
-    SilentBack,
-    /// Connections are reset, old and new ones.
+    /// No bytes are forwarded in either direction, and connections stay open. Bytes sent meanwhile
+    /// are delivered when the fault ends.
+    Stalled,
+    /// No bytes are forwarded towards the client that connected.
+    ResponsesStalled,
+    /// Open and new connections are reset.
     Reset,
-    /// Old connections end and new ones are refused, as where a process has ended. It stays so.
+    /// Open connections end and new ones are refused, as after the exit of a process. This is
+    /// permanent.
     Refused,
 }
 
-/// The two directions of a path.
+/// The direction of forwarded bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
-    Forth,
-    Back,
+    Upstream,
+    Downstream,
 }
 
-/// A proxy in front of one address.
+/// A proxy in front of an upstream address.
 #[derive(Clone, Debug)]
 pub struct FaultProxy {
     address: SocketAddr,
@@ -45,32 +46,32 @@
 }
 
 impl FaultProxy {
-    /// Starts a proxy on loopback that does no harm.
+    /// Starts a proxy on loopback, without a fault.
     ///
     /// # Errors
     ///
-    /// When no port is free.
-    pub async fn try_start(behind: SocketAddr) -> io::Result<Self> {
+    /// Returns an error if no port is free.
+    pub async fn try_start(upstream: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let proxy = FaultProxy {
             address: listener.local_addr()?,
             fault: Arc::new(watch::Sender::new(PathFault::None)),
         };
-        tokio::spawn(proxy.clone().run(listener, behind));
+        tokio::spawn(proxy.clone().run(listener, upstream));
         Ok(proxy)
     }
 
-    /// Where it listens.
+    /// Returns the address on which the proxy listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Harms the path, or not any more.
+    /// Sets the fault of all connections; [`PathFault::None`] ends it.
     pub fn set(&self, fault: PathFault) {
         self.fault.send_replace(fault);
     }
 
-    async fn run(self, listener: TcpListener, behind: SocketAddr) {
+    async fn run(self, listener: TcpListener, upstream: SocketAddr) {
         let mut ended = self.fault.subscribe();
         loop {
             let accepted = tokio::select! {
@@ -85,39 +86,51 @@
                 reset(&stream);
                 continue;
             }
-            tokio::spawn(pass(stream, behind, fault));
+            tokio::spawn(forward(stream, upstream, fault));
         }
     }
 }
 
-/// Has the connection end with a reset instead of an end.
+/// Makes a connection close with RST instead of FIN.
 fn reset(stream: &TcpStream) {
-    // A connection that is closed already needs no reset.
+    // A connection that is already closed needs no reset.
     let _ = stream.set_zero_linger();
 }
 
-async fn pass(stream: TcpStream, behind: SocketAddr, mut fault: watch::Receiver<PathFault>) {
-    let Ok(other) = TcpStream::connect(behind).await else {
+async fn forward(stream: TcpStream, upstream: SocketAddr, mut fault: watch::Receiver<PathFault>) {
+    let Ok(upstream_stream) = TcpStream::connect(upstream).await else {
         reset(&stream);
         return;
     };
-    // Small messages pass one by one, as they would without a proxy.
-    let _ = stream.set_nodelay(true).and(other.set_nodelay(true));
+    // Small messages are forwarded one by one, as they would arrive without the proxy.
+    let _ = stream
+        .set_nodelay(true)
+        .and(upstream_stream.set_nodelay(true));
     let (read, write) = stream.into_split();
-    let (other_read, other_write) = other.into_split();
-    let mut forth = tokio::spawn(pump(read, other_write, fault.clone(), Direction::Forth));
-    let mut back = tokio::spawn(pump(other_read, write, fault.clone(), Direction::Back));
+    let (upstream_read, upstream_write) = upstream_stream.into_split();
+    let mut to_upstream = tokio::spawn(copy_bytes(
+        read,
+        upstream_write,
+        fault.clone(),
+        Direction::Upstream,
+    ));
+    let mut to_client = tokio::spawn(copy_bytes(
+        upstream_read,
+        write,
+        fault.clone(),
+        Direction::Downstream,
+    ));
     tokio::select! {
-        _ = async { let _ = (&mut forth).await; let _ = (&mut back).await; } => {}
+        _ = async { let _ = (&mut to_upstream).await; let _ = (&mut to_client).await; } => {}
         _ = fault.wait_for(|fault| matches!(fault, PathFault::Reset | PathFault::Refused)) => {
-            forth.abort();
-            back.abort();
+            to_upstream.abort();
+            to_client.abort();
         }
     }
 }
 
-/// Passes bytes on until one side ends. Halves that are dropped while bytes are unread reset.
-async fn pump(
+/// Forwards bytes until one side ends. Dropping a half with unread bytes resets its connection.
+async fn copy_bytes(
     mut read: OwnedReadHalf,
     mut write: OwnedWriteHalf,
     mut fault: watch::Receiver<PathFault>,
@@ -135,7 +148,7 @@
         }
     }
     wait_until_open(&mut fault, direction).await;
-    // The other side may be gone already.
+    // The other side may already have closed the connection.
     let _ = write.shutdown().await;
 }
 
@@ -144,13 +157,16 @@
         let current = *fault.borrow_and_update();
         match (current, direction) {
             (PathFault::Delayed(span), _) => return sleep(span).await,
-            (PathFault::Silent, _) | (PathFault::SilentBack, Direction::Back) => {
+            (PathFault::Stalled, _) | (PathFault::ResponsesStalled, Direction::Downstream) => {
                 if fault.changed().await.is_err() {
                     return;
                 }
             }
             (
-                PathFault::None | PathFault::Reset | PathFault::Refused | PathFault::SilentBack,
+                PathFault::None
+                | PathFault::Reset
+                | PathFault::Refused
+                | PathFault::ResponsesStalled,
                 _,
             ) => return,
         }
--- a/crates/beechsaddle-lab/src/soak/mod.rs
+++ b/crates/beechsaddle-lab/src/soak/mod.rs
@@ -1,16 +1,17 @@
-//! The `soak` module provides a randomized soak of gateways.
+//! The `soak` module provides a randomized soak test of gateways.
 //!
-//! The routers are processes of their own; store, targets and callers are stand-ins in this process,
-//! and every connection between them and the routers, and between routers, passes a proxy that can
-//! delay, silence or reset it. Faults are drawn from a seed and overlap. What callers and targets see
-//! is written down while it runs and held against the promises of a router. Clocks and storage are not
-//! made to misbehave: a gateway has no storage, and the time of day only stands in its log lines.
+//! The routers are separate processes. Store, targets and callers are stand-ins in this process.
+//! The connections from routers to the store, to the targets and to each other pass proxies that
+//! can delay, stall or reset them. Faults are generated from a seed and overlap. The calls and
+//! runs that callers and targets observe are recorded and checked against the invariants of a
+//! router. Faults of clocks and storage are not injected: a gateway has no storage, and it uses
+//! the time of day only in its log lines.
 
-mod call_book;
 mod call_load;
-mod calm_checks;
+mod call_log;
 mod fault_plan;
 mod fault_proxy;
+mod recovery_checks;
 mod soak_command;
 mod soak_fleet;
 mod soak_run;
--- a/crates/beechsaddle-lab/src/soak/calm_checks.rs
+++ b/crates/beechsaddle-lab/src/soak/recovery_checks.rs
@@ -1,4 +1,4 @@
-//! The `calm_checks` module provides what must hold some seconds after the last fault.
+//! The `recovery_checks` module provides the checks of a fleet after the last fault.
 
 use std::time::Duration;
 
@@ -6,73 +6,73 @@
 use futures::future::join_all;
 use tokio::time::{Instant, sleep};
 
-use super::call_book::{EXTRA_CALL, SoakKind};
-use super::soak_fleet::{GRACE, PLACES, SoakFleet, WORKSPACES};
+use super::call_log::{EXTRA_CALL, SoakKind};
+use super::soak_fleet::{GRACE, SoakFleet, TARGET_SLOTS, WORKSPACES};
 use super::soak_target::{CRASH_MARK, EVENTS};
-use super::version_watch::ask_version;
+use super::version_watch::probe_version;
 
-/// How long after the last fault the bounds hold again.
-const CONTACT: Duration = Duration::from_millis(4_000);
+/// Time after the last fault from which all bounds must hold again.
+const RECOVERY_BOUND: Duration = Duration::from_millis(4_000);
 
-/// How long a new configuration may take.
+/// Time within which a new configuration must take effect.
 const CONFIG_BOUND: Duration = Duration::from_millis(2_000);
 
-/// How long after its entry says that it leaves a target may get calls.
+/// How long a target may still receive calls after its entry says that it is draining.
 const DRAIN_BOUND: Duration = Duration::from_millis(2_000);
 
-/// The pause between two events of the streams that are open at a shutdown.
-const SLOW_GAP: Duration = Duration::from_millis(150);
+/// The time between two events of the streams that are open at a shutdown.
+const SLOW_EVENT_GAP: Duration = Duration::from_millis(150);
 
-/// Streams that are open at a shutdown.
+/// Number of streams that are open at a shutdown.
 const OPEN_STREAMS: usize = 6;
 
-/// Within this all routers have heard of a limit, or of a third crash.
-const HEARD_SPAN: Duration = Duration::from_millis(3_000);
+/// Time within which all routers must have received a limit, or the report of a third crash.
+const PROPAGATION_BOUND: Duration = Duration::from_millis(3_000);
 
-/// The span over which a limit is held.
+/// The time over which the calls of a limited target are counted.
 const LIMIT_WINDOW: Duration = Duration::from_millis(4_000);
 
-/// Calls that a target may get in it that names a limit of one a second.
-const LIMIT_ALLOWED: usize = 11;
+/// Calls that a target with a limit of one per second may receive within [`LIMIT_WINDOW`].
+const MAX_LIMITED_CALLS: usize = 11;
 
-/// How often a body may reach targets after the third crash under it.
-const CRASHES_ALLOWED: usize = 3;
+/// How often a request body may still reach targets after it has crashed three.
+const MAX_LATE_ARRIVALS: usize = 3;
 
-/// Calls of a round with a body that crashes targets, and the pause between two.
+/// Calls with a crashing body in one round.
 const CRASHING_CALLS: usize = 12;
-/// See [`CRASHING_CALLS`].
+/// The pause after each of the [`CRASHING_CALLS`].
 const CRASHING_GAP: Duration = Duration::from_millis(150);
 
-/// Checks a fleet whose faults are over; gives the promises that were broken.
-pub async fn check_calm(
+/// Checks a fleet after its faults have ended. Returns the violations of invariants.
+pub async fn check_recovery(
     fleet: &mut SoakFleet,
     has_target_faults: bool,
 ) -> eyre::Result<Vec<String>> {
-    sleep(CONTACT).await;
-    fleet.revive().await?;
-    let mut broken = check_config(fleet).await;
-    broken.extend(check_service(fleet).await);
+    sleep(RECOVERY_BOUND).await;
+    fleet.replace_crashed_targets().await?;
+    let mut violations = check_config(fleet).await;
+    violations.extend(check_service(fleet).await);
     if has_target_faults {
-        broken.extend(check_limit(fleet).await);
-        broken.extend(check_crashes(fleet).await?);
+        violations.extend(check_limit(fleet).await);
+        violations.extend(check_crashes(fleet).await?);
     }
-    broken.extend(check_drain(fleet).await?);
-    broken.extend(check_shutdown(fleet).await?);
-    Ok(broken)
+    violations.extend(check_drain(fleet).await?);
+    violations.extend(check_shutdown(fleet).await?);
+    Ok(violations)
 }
 
 async fn check_config(fleet: &mut SoakFleet) -> Vec<String> {
     fleet.put_config();
     sleep(CONFIG_BOUND).await;
     let version = fleet.config.version;
-    let asked = fleet.routers.iter().map(|router| async move {
-        let answer = ask_version(router.calls, version).await;
+    let probes = fleet.routers.iter().map(|router| async move {
+        let answer = probe_version(router.calls, version).await;
         (answer == Some(404)).then(|| format!("{} lacks version {version}", router.calls))
     });
-    join_all(asked).await.into_iter().flatten().collect()
+    join_all(probes).await.into_iter().flatten().collect()
 }
 
-/// Nine in ten calls are answered again.
+/// Checks that nine in ten calls succeed again.
 async fn check_service(fleet: &SoakFleet) -> Option<String> {
     let mut answered = 0;
     for number in 0..20 {
@@ -84,25 +84,25 @@
     (answered < 18).then(|| format!("{answered} of 20 calls were answered after all faults"))
 }
 
-/// A target that names a limit gets no more than the platform allows from the load.
+/// Checks that a target which sets a rate limit receives no more calls of the load than allowed.
 async fn check_limit(fleet: &SoakFleet) -> Option<String> {
-    let engines = fleet.targets[..PLACES]
+    let engines = fleet.targets[..TARGET_SLOTS]
         .iter()
         .map(|target| &target.stand_in);
     let limited = engines.rev().find(|target| !target.has_crashed())?.clone();
     limited.set_limit(Some("1"));
-    sleep(HEARD_SPAN).await;
+    sleep(PROPAGATION_BOUND).await;
     let before = limited.arrivals().len();
     sleep(LIMIT_WINDOW).await;
     let count = limited.arrivals().len() - before;
     limited.set_limit(None);
-    (count > LIMIT_ALLOWED).then(|| {
+    (count > MAX_LIMITED_CALLS).then(|| {
         let name = limited.name();
-        format!("{name} named a limit of 1 a second and got {count} calls in {LIMIT_WINDOW:?}")
+        format!("{name} set a limit of 1 per second and got {count} calls in {LIMIT_WINDOW:?}")
     })
 }
 
-/// A body that crashes its targets reaches few of them after the third.
+/// Checks that a body which crashes its targets reaches few more after the third.
 async fn check_crashes(fleet: &mut SoakFleet) -> eyre::Result<Option<String>> {
     let body = [CRASH_MARK, b"-calm"].concat();
     call_crashing(fleet, &body, 0).await?;
@@ -111,20 +111,20 @@
             "a body that crashes targets reached fewer than three".to_owned(),
         ));
     }
-    sleep(HEARD_SPAN).await;
+    sleep(PROPAGATION_BOUND).await;
     let before = fleet.arrivals(&body);
     call_crashing(fleet, &body, 1).await?;
     let late = fleet.arrivals(&body) - before;
-    // Targets that it still crashed come back, for what is checked next.
+    // The targets that this round crashed are replaced for the checks that follow.
     for _ in 0..2 {
-        sleep(CONTACT / 4).await;
-        fleet.revive().await?;
+        sleep(RECOVERY_BOUND / 4).await;
+        fleet.replace_crashed_targets().await?;
     }
     let crashed = format!("a body that crashed {before} targets was sent to {late} more");
-    Ok((late > CRASHES_ALLOWED).then_some(crashed))
+    Ok((late > MAX_LATE_ARRIVALS).then_some(crashed))
 }
 
-/// Has each router called some times with a body, while targets that crash come back.
+/// Sends calls with a body through all routers in turn, while crashed targets are replaced.
 async fn call_crashing(fleet: &mut SoakFleet, body: &[u8], round: usize) -> eyre::Result<()> {
     for number in 0..CRASHING_CALLS {
         let router = fleet.routers[number % fleet.routers.len()].calls;
@@ -133,10 +133,10 @@
         request.id = format!("{}-crash", request.id);
         request.tokens = Some((50, 18));
         request.body = body.to_owned();
-        // What a caller of such a body gets does not matter.
+        // The response to a crashing body is not checked.
         let _ = call(router, &request).await;
         sleep(CRASHING_GAP).await;
-        fleet.revive().await?;
+        fleet.replace_crashed_targets().await?;
     }
     Ok(())
 }
@@ -148,14 +148,14 @@
     let before = leaving.runs().len();
     sleep(Duration::from_millis(700)).await;
     let late = leaving.runs().len() - before;
-    Ok((late > 0).then(|| format!("{late} calls reached {} too late", leaving.name())))
+    Ok((late > 0).then(|| format!("{late} calls reached drained {}", leaving.name())))
 }
 
-/// Streams that are open when a router is told to end come to their end, and it ends in time.
+/// Checks that the open streams of a terminated router are completed, and that it exits in time.
 async fn check_shutdown(fleet: &mut SoakFleet) -> eyre::Result<Vec<String>> {
     let router = &fleet.routers[0];
     for target in &fleet.targets {
-        target.stand_in.set_events(EVENTS, SLOW_GAP);
+        target.stand_in.set_events(EVENTS, SLOW_EVENT_GAP);
     }
     let streams: Vec<_> = (0..OPEN_STREAMS)
         .map(|number| {
@@ -163,33 +163,33 @@
             tokio::spawn(async move { call(calls, &request).await })
         })
         .collect();
-    sleep(2 * SLOW_GAP).await;
+    sleep(2 * SLOW_EVENT_GAP).await;
     if let Some(process) = &router.process {
         process.terminate()?;
     }
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for stream in streams {
         let reply = stream.await?;
         if !reply.as_ref().is_ok_and(is_whole_stream) {
-            broken.push(format!("a shutdown cut a stream: {reply:?}"));
+            violations.push(format!("a shutdown truncated a stream: {reply:?}"));
         }
     }
-    broken.extend(check_exit(fleet).await?);
-    Ok(broken)
+    violations.extend(check_exit(fleet).await?);
+    Ok(violations)
 }
 
 async fn check_exit(fleet: &mut SoakFleet) -> eyre::Result<Option<String>> {
     let until = Instant::now() + GRACE;
     let Some(process) = &mut fleet.routers[0].process else {
-        return Ok(Some("a router ended by itself".to_owned()));
+        return Ok(Some("a router exited unexpectedly".to_owned()));
     };
     while Instant::now() < until {
         if let Some(status) = process.wait(Duration::ZERO)? {
-            return Ok((!status.success()).then(|| format!("a router ended with {status}")));
+            return Ok((!status.success()).then(|| format!("a router exited with {status}")));
         }
         sleep(Duration::from_millis(20)).await;
     }
-    Ok(Some(format!("a router did not end within {GRACE:?}")))
+    Ok(Some(format!("a router did not exit within {GRACE:?}")))
 }
 
 fn is_whole_stream(reply: &CallReply) -> bool {
@@ -199,7 +199,7 @@
 
 fn extra_call(kind: SoakKind, number: usize) -> CallRequest {
     CallRequest::new(
-        kind.line(),
+        kind.request_line(),
         &format!("{EXTRA_CALL}{kind:?}-{number}"),
         WORKSPACES[0].1,
     )
--- a/crates/beechsaddle-lab/src/soak/soak_command.rs
+++ b/crates/beechsaddle-lab/src/soak/soak_command.rs
@@ -1,4 +1,4 @@
-//! The `soak_command` module provides `beechsaddle-lab soak`.
+//! The `soak_command` module provides the `beechsaddle-lab soak` subcommand.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -49,15 +49,15 @@
         .help(help)
 }
 
-/// Runs the seeds and prints a line for each.
+/// Runs the seeds and prints a result line for each.
 ///
 /// # Errors
 ///
-/// When a fleet cannot be run, or a promise was broken.
+/// Returns an error if a fleet cannot be run, or if an invariant was violated.
 pub fn run(matches: &ArgMatches) -> eyre::Result<()> {
     let read = |name: &str| matches.get_one::<u64>(name).copied().unwrap_or(1);
     let options = SoakOptions {
-        program: std::env::current_exe().wrap_err("the lab's own program is not known")?,
+        program: std::env::current_exe().wrap_err("cannot find the lab's own program")?,
         folder: matches
             .get_one::<PathBuf>("logs")
             .cloned()
@@ -69,22 +69,22 @@
     };
     let seeds = read("seed")..read("seed") + read("seeds");
     let runtime = Builder::new_multi_thread().enable_all().build()?;
-    let broken = runtime.block_on(async {
+    let failed_seeds = runtime.block_on(async {
         let runs = stream::iter(seeds).map(|seed| run_seed(&options, seed));
         let mut runs = runs.buffer_unordered(read("jobs") as usize);
-        let mut broken = Vec::new();
+        let mut failed_seeds = Vec::new();
         while let Some(outcome) = runs.next().await {
             let outcome = outcome?;
             print_outcome(&outcome);
-            if !outcome.broken.is_empty() {
-                broken.push(outcome.seed);
+            if !outcome.violations.is_empty() {
+                failed_seeds.push(outcome.seed);
             }
         }
-        eyre::Ok(broken)
+        eyre::Ok(failed_seeds)
     })?;
-    match broken.is_empty() {
+    match failed_seeds.is_empty() {
         true => Ok(()),
-        false => bail!("promises were broken with the seeds {broken:?}"),
+        false => bail!("invariants were violated with the seeds {failed_seeds:?}"),
     }
 }
 
@@ -95,9 +95,9 @@
         outcome.faults,
         outcome.calls,
         outcome.answered,
-        outcome.broken.len()
+        outcome.violations.len()
     );
-    for broken in &outcome.broken {
-        println!("  {broken}");
+    for violation in &outcome.violations {
+        println!("  {violation}");
     }
 }
--- a/crates/beechsaddle-lab/src/soak/soak_fleet.rs
+++ b/crates/beechsaddle-lab/src/soak/soak_fleet.rs
@@ -1,4 +1,4 @@
-//! The `soak_fleet` module provides the routers of a soak, and what stands around them.
+//! The `soak_fleet` module provides the routers of a soak with their store, targets and proxies.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,61 +11,59 @@
 use serde_json::Value;
 use tokio::time::{Instant, sleep};
 
-use super::call_book::{SoakEvidence, WorkspaceTotals};
+use super::call_log::{SoakEvidence, WorkspaceTotals};
 use super::fault_proxy::{FaultProxy, PathFault};
 use super::soak_target::{EVENTS, SoakTarget};
 use crate::fleet::{LabProcess, free_address};
 
-/// The workspaces: one that is never used up, and one that is.
+/// The workspaces as name, key and prepaid tokens: one that never runs out, and one that does.
 pub const WORKSPACES: [(&str, &str, u64); 2] = [
     ("ample", "key-of-ample", 50_000_000),
     ("scant", "key-of-scant", 150_000),
 ];
 
-/// How long a router may take to be ready.
-const READY_SPAN: Duration = Duration::from_secs(8);
+/// How long a router may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// The seconds between SIGTERM and the kill that routers are told.
+/// Grace period between SIGTERM and SIGKILL, as set in the routers' settings.
 pub const GRACE: Duration = Duration::from_secs(4);
 
-/// Targets that are there at a time; a fault names one of these places.
-pub const PLACES: usize = 4;
+/// Number of targets that are in service at a time. A fault selects one of these slots.
+pub const TARGET_SLOTS: usize = 4;
 
-/// One router, and the ways from it and to it.
+/// A router with the proxies of its connections.
 pub struct SoakRouter {
-    /// Where callers reach it.
+    /// Call address.
     pub calls: SocketAddr,
-    /// Where it says whether it is ready.
+    /// Address of the readiness endpoint.
     pub ready: SocketAddr,
-    /// Its way to the store.
+    /// Proxy of its connections to the store.
     pub store_path: FaultProxy,
-    /// The way to the tokens that it lends.
+    /// Proxy of the connections over which peers borrow tokens from it.
     pub peer_path: FaultProxy,
     /// Its process; `None` while it is down.
     pub process: Option<LabProcess>,
-    /// How often it was started.
+    /// Number of times that it was started.
     pub starts: u64,
     host: String,
     settings: PathBuf,
     log: PathBuf,
 }
 
-/// Everything of a soak.
+/// The routers, store and targets of a soak.
 pub struct SoakFleet {
-    /// The store.
     pub store: StoreStandIn,
-    /// Routers.
     pub routers: Vec<SoakRouter>,
-    /// Targets that were ever there; those of the first places are replaced.
+    /// All targets, including replaced ones. The first [`TARGET_SLOTS`] are in service.
     pub targets: Vec<SoakTarget>,
-    /// The newest configuration.
+    /// The latest configuration.
     pub config: ConfigDraft,
     program: PathBuf,
 }
 
 impl SoakFleet {
-    /// Starts a store, two targets of each service and routers in two domains, and waits until these
-    /// are ready. `folder` takes settings and logs.
+    /// Starts a store, two targets of each service and routers in two domains, and waits until the
+    /// routers are ready. Settings and logs are written to `folder`.
     pub async fn try_start(program: &Path, folder: &Path, routers: usize) -> eyre::Result<Self> {
         let mut fleet = SoakFleet {
             store: StoreStandIn::try_start().await?,
@@ -94,7 +92,7 @@
         Ok(fleet)
     }
 
-    /// Starts a router's process.
+    /// Starts the process of a router.
     pub fn start_router(&mut self, number: usize) -> eyre::Result<()> {
         let router = &mut self.routers[number];
         let process = LabProcess::try_start_router(&self.program, &router.settings, &router.log)?;
@@ -103,9 +101,9 @@
         Ok(())
     }
 
-    /// Waits until a router says that it is ready.
+    /// Waits until a router reports that it is ready.
     pub async fn wait_ready(&self, number: usize) -> eyre::Result<()> {
-        let until = Instant::now() + READY_SPAN;
+        let until = Instant::now() + READY_TIMEOUT;
         while Instant::now() < until {
             let request = CallRequest::new(READY_LINE, "ready", "");
             let reply = call(self.routers[number].ready, &request).await;
@@ -114,10 +112,10 @@
             }
             sleep(Duration::from_millis(50)).await;
         }
-        bail!("router {number} is not ready within {READY_SPAN:?}")
+        bail!("router {number} was not ready within {READY_TIMEOUT:?}")
     }
 
-    /// Adds a target.
+    /// Starts a target and writes its entry to the store.
     pub async fn add_target(
         &mut self,
         service: &'static str,
@@ -130,7 +128,7 @@
         Ok(())
     }
 
-    /// Writes a target's entry.
+    /// Writes the entry of a target to the store.
     pub fn list_target(&self, number: usize, state: EntryState) {
         let target = &self.targets[number];
         let address = target.path.address();
@@ -140,22 +138,22 @@
         self.store.put("servers", target.stand_in.name(), &entry);
     }
 
-    /// Has a target leave and another come.
+    /// Sets a target to draining and adds a replacement.
     pub async fn replace_target(&mut self, number: usize) -> eyre::Result<()> {
         let (service, zone) = (self.targets[number].service, self.targets[number].zone);
         self.add_target(service, zone).await?;
         self.list_target(number, EntryState::Draining);
-        // Faults of this place hit the new one from now on.
+        // The replacement takes the slot, so that faults of the slot now hit it.
         let last = self.targets.len() - 1;
         self.targets.swap(number, last);
         Ok(())
     }
 
-    /// Has other targets come for those that crashed a moment ago.
-    pub async fn revive(&mut self) -> eyre::Result<()> {
-        for number in 0..self.targets.len().min(PLACES) {
+    /// Replaces the targets whose restart delay after a crash has passed.
+    pub async fn replace_crashed_targets(&mut self) -> eyre::Result<()> {
+        for number in 0..self.targets.len().min(TARGET_SLOTS) {
             let target = &mut self.targets[number];
-            if !target.is_gone() {
+            if !target.is_replaceable() {
                 continue;
             }
             let (service, zone) = (target.service, target.zone);
@@ -167,7 +165,7 @@
         Ok(())
     }
 
-    /// How often a body has reached targets.
+    /// Returns the number of runs with a given body at all targets.
     pub fn arrivals(&self, body: &[u8]) -> usize {
         let runs = self
             .targets
@@ -176,7 +174,7 @@
         runs.filter(|run| run.body == body).count()
     }
 
-    /// Writes a configuration with one more route.
+    /// Writes a new configuration version with one more route.
     pub fn put_config(&mut self) {
         self.config.version += 1;
         let prefix: &'static str = version_prefix(self.config.version).leak();
@@ -185,22 +183,22 @@
         self.store.put_config(&self.config);
     }
 
-    /// Has routers that list themselves be reached by way of their proxies.
-    pub fn lead_peers(&self) {
+    /// Rewrites the store entries of routers so that peers reach them through their proxies.
+    pub fn redirect_peers(&self) {
         for router in &self.routers {
             let Some(mut entry) = self.store.spec("routers", &router.host) else {
                 continue;
             };
-            let led = Value::String(router.peer_path.address().to_string());
-            if entry["address"] != led {
-                entry["address"] = led;
+            let proxied = Value::String(router.peer_path.address().to_string());
+            if entry["address"] != proxied {
+                entry["address"] = proxied;
                 self.store.put("routers", &router.host, &entry);
             }
         }
     }
 
-    /// Ends all faults of paths, store and targets.
-    pub fn heal(&self) {
+    /// Ends all faults of connections, store and targets.
+    pub fn clear_faults(&self) {
         self.store.set_fault(Default::default());
         for router in &self.routers {
             router.store_path.set(PathFault::None);
@@ -215,7 +213,7 @@
         }
     }
 
-    /// What targets and store know.
+    /// Returns the records of targets and store.
     pub fn evidence(&self) -> SoakEvidence {
         let targets = self.targets.iter().map(|target| &target.stand_in);
         let totals = WORKSPACES.iter().map(|(workspace, _, prepaid)| {
@@ -224,7 +222,7 @@
             WorkspaceTotals {
                 workspace,
                 prepaid: *prepaid,
-                // A workspace that nobody called has no ledger.
+                // A workspace without calls has no ledger.
                 taken: taken.unwrap_or(0),
             }
         });
@@ -239,7 +237,7 @@
 }
 
 impl SoakRouter {
-    /// Changes the settings file and tells the process.
+    /// Changes the settings file and makes the process reload it.
     pub fn reload(&self, number: u64) -> eyre::Result<()> {
         let text = std::fs::read_to_string(&self.settings)?;
         let lines = text.lines().map(|line| match line.starts_with("watch_ms") {
@@ -255,7 +253,7 @@
     }
 }
 
-/// The path prefix of the route that a version adds.
+/// Returns the path prefix of the route that a configuration version adds.
 pub fn version_prefix(version: u64) -> String {
     format!("/v{version}/")
 }
--- a/crates/beechsaddle-lab/src/soak/soak_run.rs
+++ b/crates/beechsaddle-lab/src/soak/soak_run.rs
@@ -1,4 +1,4 @@
-//! The `soak_run` module provides one seed of a soak, from the start of a fleet to its verdict.
+//! The `soak_run` module provides the run of one seed of a soak.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -11,62 +11,61 @@
 use tokio::time::{Instant, sleep_until};
 
 use super::call_load::CallLoad;
-use super::calm_checks::check_calm;
 use super::fault_plan::{FaultPlan, PlannedFault, SoakFault};
 use super::fault_proxy::PathFault;
-use super::soak_fleet::{PLACES, SoakFleet};
+use super::recovery_checks::check_recovery;
+use super::soak_fleet::{SoakFleet, TARGET_SLOTS};
 use super::version_watch::VersionWatch;
 
-/// How often it is seen to that routers reach each other by way of their proxies.
-const PEER_SPAN: Duration = Duration::from_millis(200);
+/// How often peer addresses are rewritten so that routers reach each other through proxies.
+const PEER_REDIRECT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a router that was told to end is waited for before it is looked at again.
-const END_SPAN: Duration = Duration::from_millis(250);
+/// The time between two checks whether a terminated router has exited.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How a soak is run.
+/// The options of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// The program that also runs routers.
+    /// Path of the lab's binary, which also runs the routers.
     pub program: PathBuf,
-    /// Where settings and logs go.
+    /// Directory for settings and logs.
     pub folder: PathBuf,
-    /// How long there are faults.
+    /// The time during which faults are injected.
     pub span: Duration,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Callers.
+    /// Number of callers.
     pub callers: u64,
-    /// Whether targets crash and name limits, and some calls crash their targets.
+    /// Whether targets crash and set rate limits, and some calls crash their targets.
     pub has_target_faults: bool,
 }
 
-/// What came of a seed.
+/// The outcome of a seed.
 #[derive(Clone, Debug)]
 pub struct SoakOutcome {
-    /// The seed.
     pub seed: u64,
-    /// Calls that were made.
+    /// Number of calls.
     pub calls: usize,
-    /// Calls that a target answered with success.
+    /// Number of calls that a target answered with success.
     pub answered: usize,
-    /// Faults that were brought about.
+    /// Number of faults injected.
     pub faults: usize,
-    /// Promises that were broken, each with the call that shows it.
-    pub broken: Vec<String>,
+    /// Violations of invariants, each with the call that shows it.
+    pub violations: Vec<String>,
 }
 
-/// A fault that begins or ends.
+/// The start or end of a fault.
 #[derive(Clone, Copy, Debug)]
 enum SoakStep {
     Begin(PlannedFault),
     End(SoakFault),
 }
 
-/// Runs one seed.
+/// Runs one seed: starts a fleet, injects its faults and checks the invariants.
 ///
 /// # Errors
 ///
-/// When a process cannot be started, or a router does not get ready.
+/// Returns an error if a process cannot be started, or if a router does not become ready.
 pub async fn run_seed(options: &SoakOptions, seed: u64) -> eyre::Result<SoakOutcome> {
     let folder = options.folder.join(seed.to_string());
     std::fs::create_dir_all(&folder)?;
@@ -77,21 +76,21 @@
     for caller in 0..options.callers {
         callers.spawn(load.clone().run(seed, caller));
     }
-    let mut plan = FaultPlan::new(seed, options.span, options.routers, PLACES);
+    let mut plan = FaultPlan::new(seed, options.span, options.routers, TARGET_SLOTS);
     if options.has_target_faults {
-        plan = plan.with_target_faults(seed, options.span, PLACES);
+        plan = plan.with_target_faults(seed, options.span, TARGET_SLOTS);
     }
     let faults = plan.faults.len();
     let mut run = SeedRun::new(fleet, &load);
-    run.bring_about(plan).await?;
+    run.inject_faults(plan).await?;
     load.has_crashing.store(false, Ordering::Relaxed);
-    let mut broken = check_calm(&mut run.fleet, options.has_target_faults).await?;
-    load.is_over.store(true, Ordering::Relaxed);
+    let mut violations = check_recovery(&mut run.fleet, options.has_target_faults).await?;
+    load.is_stopped.store(true, Ordering::Relaxed);
     callers.join_all().await;
-    broken.extend(load.book.check(&run.fleet.evidence()));
-    let (calls, answered) = load.book.counts();
+    violations.extend(load.log.check(&run.fleet.evidence()));
+    let (calls, answered) = load.log.counts();
     drop(run);
-    if broken.is_empty() {
+    if violations.is_empty() {
         remove_folder(&folder);
     }
     Ok(SoakOutcome {
@@ -99,17 +98,17 @@
         calls,
         answered,
         faults,
-        broken,
+        violations,
     })
 }
 
 fn remove_folder(folder: &Path) {
     if let Err(error) = std::fs::remove_dir_all(folder) {
-        eprintln!("{} stays: {error}", folder.display());
+        eprintln!("cannot remove {}: {error}", folder.display());
     }
 }
 
-/// A fleet under faults.
+/// A fleet with fault injection.
 struct SeedRun {
     fleet: SoakFleet,
     starts: Vec<Arc<AtomicU64>>,
@@ -132,7 +131,7 @@
                 router: router.calls,
                 starts: Arc::clone(starts),
                 newest: newest.subscribe(),
-                book: load.book.clone(),
+                log: load.log.clone(),
             };
             watches.spawn(version_watch.run());
         }
@@ -145,8 +144,8 @@
         }
     }
 
-    /// Brings the faults about, each at its time, and ends all of them.
-    async fn bring_about(&mut self, plan: FaultPlan) -> eyre::Result<()> {
+    /// Starts and ends all faults at their times, and waits until all routers are ready again.
+    async fn inject_faults(&mut self, plan: FaultPlan) -> eyre::Result<()> {
         let start = Instant::now();
         let begins = plan.faults.into_iter().enumerate();
         let mut steps: BTreeMap<(Duration, usize), SoakStep> = begins
@@ -155,9 +154,9 @@
         let mut number = steps.len();
         while let Some(((at, _), step)) = steps.pop_first() {
             while Instant::now() < start + at {
-                self.fleet.lead_peers();
-                self.fleet.revive().await?;
-                sleep_until((start + at).min(Instant::now() + PEER_SPAN)).await;
+                self.fleet.redirect_peers();
+                self.fleet.replace_crashed_targets().await?;
+                sleep_until((start + at).min(Instant::now() + PEER_REDIRECT_INTERVAL)).await;
             }
             number += 1;
             match step {
@@ -167,11 +166,11 @@
                     steps.insert((at + planned.span, number), end);
                 }
                 SoakStep::End(fault) if self.end(fault)? => {}
-                SoakStep::End(_) => drop(steps.insert((at + END_SPAN, number), step)),
+                SoakStep::End(_) => drop(steps.insert((at + EXIT_POLL_INTERVAL, number), step)),
             }
         }
-        self.fleet.heal();
-        self.fleet.lead_peers();
+        self.fleet.clear_faults();
+        self.fleet.redirect_peers();
         for router in 0..self.fleet.routers.len() {
             self.fleet.wait_ready(router).await?;
         }
@@ -223,12 +222,12 @@
         Ok(())
     }
 
-    /// Ends a fault; tells whether it is over.
+    /// Ends a fault. Returns `false` if a terminated router has not exited yet.
     fn end(&mut self, fault: SoakFault) -> eyre::Result<bool> {
         let fleet = &mut self.fleet;
         match fault {
-            SoakFault::Kill(router) => self.start_again(router)?,
-            SoakFault::Terminate(router) => return self.end_terminated(router),
+            SoakFault::Kill(router) => self.restart_router(router)?,
+            SoakFault::Terminate(router) => return self.finish_termination(router),
             SoakFault::Pause(router) => {
                 if let Some(process) = &fleet.routers[router].process {
                     process.thaw()?;
@@ -261,11 +260,11 @@
         Ok(true)
     }
 
-    /// Starts a router again that was told to end, once it has ended.
-    fn end_terminated(&mut self, router: usize) -> eyre::Result<bool> {
+    /// Restarts a terminated router once it has exited. Returns `false` if it still runs.
+    fn finish_termination(&mut self, router: usize) -> eyre::Result<bool> {
         let terminated = self.terminated[router];
         let ended = &mut self.fleet.routers[router];
-        // Another fault may have killed it meanwhile, and it was started again.
+        // Another fault may have killed it meanwhile, after which it was restarted.
         if ended.starts != terminated {
             return Ok(true);
         }
@@ -275,11 +274,11 @@
             return Ok(false);
         }
         ended.process = None;
-        self.start_again(router)?;
+        self.restart_router(router)?;
         Ok(true)
     }
 
-    fn start_again(&mut self, router: usize) -> eyre::Result<()> {
+    fn restart_router(&mut self, router: usize) -> eyre::Result<()> {
         if self.fleet.routers[router].process.is_none() {
             self.starts[router].fetch_add(1, Ordering::SeqCst);
             self.fleet.start_router(router)?;
--- a/crates/beechsaddle-lab/src/soak/soak_target.rs
+++ b/crates/beechsaddle-lab/src/soak/soak_target.rs
@@ -1,4 +1,4 @@
-//! The `soak_target` module provides the targets of a soak, and the ways to them.
+//! The `soak_target` module provides the targets of a soak with their proxies.
 
 use std::time::Duration;
 
@@ -7,31 +7,31 @@
 
 use super::fault_proxy::{FaultProxy, PathFault};
 
-/// Events of a stream, and the pause between two.
+/// Number of events of a stream; `EVENT_GAP` is the time between two.
 pub const EVENTS: u64 = 6;
 const EVENT_GAP: Duration = Duration::from_millis(15);
 
-/// What the body of a call holds that crashes each target which runs it.
+/// Bytes in the body of a call that crash every target which runs it.
 pub const CRASH_MARK: &[u8] = b"crash";
 
-/// How long a target is away after a crash.
-const RESTART_SPAN: Duration = Duration::from_millis(400);
+/// The time from a crash of a target until it is replaced.
+const RESTART_DELAY: Duration = Duration::from_millis(400);
 
-/// One target, and the way to it.
+/// A target with the proxy of its connections.
 #[derive(Clone)]
 pub struct SoakTarget {
-    /// The target.
+    /// The target server.
     pub stand_in: TargetStandIn,
-    /// The way to it.
+    /// Proxy of the connections to the target.
     pub path: FaultProxy,
     pub(super) service: &'static str,
     pub(super) zone: &'static str,
-    /// When it was found crashed.
+    /// The time at which the crash was first detected.
     crashed_at: Option<Instant>,
 }
 
 impl SoakTarget {
-    /// Starts a target and the way to it.
+    /// Starts a target and its proxy.
     pub(super) async fn try_start(
         name: &str,
         service: &'static str,
@@ -42,7 +42,7 @@
         stand_in.set_events(EVENTS, EVENT_GAP);
         stand_in.crash_on(CRASH_MARK);
         let path = FaultProxy::try_start(stand_in.address()).await?;
-        tokio::spawn(end_path(stand_in.clone(), path.clone()));
+        tokio::spawn(refuse_after_crash(stand_in.clone(), path.clone()));
         Ok(SoakTarget {
             stand_in,
             path,
@@ -52,18 +52,19 @@
         })
     }
 
-    /// Whether it crashed long enough ago for another one to come. It counts from the first time that this is asked.
-    pub(super) fn is_gone(&mut self) -> bool {
+    /// Whether [`RESTART_DELAY`] has passed since the crash. The delay starts with the first call
+    /// of this function after the crash.
+    pub(super) fn is_replaceable(&mut self) -> bool {
         if !self.stand_in.has_crashed() {
             return false;
         }
         let crashed_at = *self.crashed_at.get_or_insert_with(Instant::now);
-        crashed_at.elapsed() >= RESTART_SPAN
+        crashed_at.elapsed() >= RESTART_DELAY
     }
 }
 
-/// Ends the path to a target as soon as it has crashed.
-async fn end_path(stand_in: TargetStandIn, path: FaultProxy) {
+/// Refuses connections to a target as soon as it has crashed.
+async fn refuse_after_crash(stand_in: TargetStandIn, path: FaultProxy) {
     stand_in.crashed().await;
     path.set(PathFault::Refused);
 }
--- a/crates/beechsaddle-lab/tests/fleet_files.rs
+++ b/crates/beechsaddle-lab/tests/fleet_files.rs
@@ -1,4 +1,4 @@
-//! Tests of the deployments under `examples/`.
+//! Tests of the deployment files under `examples/`.
 
 use std::path::PathBuf;
 
--- a/crates/beechsaddle-lab/tests/load_answers.rs
+++ b/crates/beechsaddle-lab/tests/load_answers.rs
@@ -1,4 +1,4 @@
-//! Tests of what the load tool makes of good and bad answers.
+//! Tests of how the load tool classifies responses, and of its retries.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use beechsaddle_lab::load::{
-    CallKind, CallOutcome, CallResult, CallSender, CallerPatience, CallerSettings, CallerWorkspace,
-    PlannedCall,
+    CallKind, CallOutcome, CallResult, CallSender, CallerRetryPolicy, CallerSettings,
+    CallerWorkspace, PlannedCall,
 };
 use beechsaddle_lab::stand_in::ChatProof;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -16,7 +16,8 @@
 
 const MARK: &str = "load-1-5";
 
-/// A router that gives the same bytes to each request of a connection, up to `answers` of them.
+/// A router that sends the same bytes in response to each request of a connection, up to `answers`
+/// times, and then closes it.
 struct FakeRouter {
     address: SocketAddr,
     requests: Arc<AtomicUsize>,
@@ -44,7 +45,7 @@
 
 async fn serve(mut stream: TcpStream, answer: String, answers: usize, counter: Arc<AtomicUsize>) {
     let mut buffer = vec![0; 65_536];
-    // Requests of these tests fit into one segment.
+    // The requests of these tests fit into one segment.
     for index in 0.. {
         match stream.read(&mut buffer).await {
             Ok(0) | Err(_) => return,
@@ -55,7 +56,7 @@
         }
         stream.write_all(answer.as_bytes()).await.unwrap();
         if answer.contains("chunked") {
-            // Closes behind the stream, whether or not its last chunk was sent.
+            // Closes the connection after the stream, whether or not its last chunk was sent.
             return;
         }
     }
@@ -110,7 +111,7 @@
         kind,
         workspace: 0,
         key: MARK.to_owned(),
-        opening: 0,
+        prefix: 0,
         max_tokens: 8,
     }
 }
@@ -128,11 +129,11 @@
         }],
         ..CallerSettings::default()
     };
-    let patience = CallerPatience {
+    let retry_policy = CallerRetryPolicy {
         retries,
         try_timeout: Duration::from_secs(2),
     };
-    CallSender::new(Arc::new(settings), patience)
+    CallSender::new(Arc::new(settings), retry_policy)
 }
 
 async fn outcome_of(answer: String, kind: CallKind) -> CallOutcome {
@@ -143,7 +144,7 @@
 }
 
 #[tokio::test]
-async fn stream_whole() {
+async fn stream_complete() {
     let answer = chunked(&events(MARK, "data: [DONE]\n\n"), true);
     let outcome = outcome_of(answer, CallKind::StreamedChat).await;
     let CallOutcome::Answered(times) = outcome else {
@@ -167,7 +168,7 @@
 }
 
 #[tokio::test]
-async fn stream_broken_off() {
+async fn stream_connection_lost() {
     let answer = chunked(&events(MARK, ""), false);
     let outcome = outcome_of(answer, CallKind::StreamedChat).await;
     assert_eq!(outcome, CallOutcome::Broken);
@@ -187,10 +188,10 @@
 }
 
 #[tokio::test]
-async fn plain_cut_short() {
-    let whole = echo(MARK);
-    let half = &whole[..whole.len() - 9];
-    let outcome = outcome_of(sized(200, half), CallKind::Plain).await;
+async fn plain_truncated() {
+    let complete = echo(MARK);
+    let truncated = &complete[..complete.len() - 9];
+    let outcome = outcome_of(sized(200, truncated), CallKind::Plain).await;
     assert_eq!(outcome, CallOutcome::Short);
 }
 
@@ -211,9 +212,9 @@
     assert_eq!(outcome, CallOutcome::Broken);
 }
 
-// The router closes a kept connection just as the second call is sent on it. A client that sent
-// the call again by itself would run a payment confirmation twice without anybody's order, so the
-// router has to see each call once and the second caller has to be told that the outcome is open.
+// Guards against a client that resends a request by itself. The router closes a reused connection
+// just as the second call is sent on it; a resend could run a payment confirmation twice. Each
+// call must reach the router once, and the second caller must learn that the outcome is unknown.
 #[tokio::test]
 async fn reused_connection_closes_under_request() {
     let router = FakeRouter::start(sized(200, &echo(MARK)), 1).await;
@@ -230,7 +231,7 @@
 }
 
 #[tokio::test]
-async fn retries_after_refusals_until_patience_ends() {
+async fn retries_after_refusals_until_retry_limit() {
     let body = r#"{"error":{"reason":"overloaded","ran":"no","call":"a","retry_after_ms":1}}"#;
     let router = FakeRouter::start(sized(503, body), 9).await;
     let result = sender(&router, 2)
@@ -241,7 +242,7 @@
 }
 
 #[tokio::test]
-async fn broken_without_retries_is_tried_once() {
+async fn lost_connection_without_retries_is_not_retried() {
     let router = FakeRouter::start("", 0).await;
     let result = sender(&router, 0)
         .send(planned(CallKind::Plain), Instant::now())
@@ -251,18 +252,18 @@
 }
 
 #[tokio::test]
-async fn broken_is_tried_again() {
+async fn lost_connection_is_retried() {
     let router = FakeRouter::start("", 0).await;
     let sender = sender(&router, 1);
     let sending = sender.send(planned(CallKind::Plain), Instant::now());
-    // The waits grow from 100 ms, so that three tries have been made after half a second.
+    // The waits grow from 100 ms, so three tries are made within half a second.
     let unfinished = timeout(Duration::from_millis(500), sending).await;
     assert!(unfinished.is_err());
     assert!(router.requests() >= 2, "{} tries", router.requests());
 }
 
-// The tool itself was late by a second. A latency counted from the real sending would hide that
-// second from every call that waited in it.
+// Guards against hidden stalls of the tool. It sends a call one second late; a latency measured
+// from the actual sending would not include that second.
 #[tokio::test]
 async fn latency_counts_from_intended_time() {
     let router = FakeRouter::start(sized(200, &echo(MARK)), 1).await;
--- a/crates/beechsaddle-lab/tests/load_ledger.rs
+++ b/crates/beechsaddle-lab/tests/load_ledger.rs
@@ -1,4 +1,4 @@
-//! Tests of the load tool's reading of the ledger.
+//! Tests of the ledger totals of the load tool.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -61,7 +61,8 @@
     assert_eq!(totals, expected);
 }
 
-// One budget has tokens left and another is overspent by ten. Sums over both would hide it.
+// Guards against overspend hidden by a sum: one budget has tokens left, the other is overspent by
+// ten.
 #[tokio::test]
 async fn totals_overspend_not_hidden_by_other_budget() {
     let platform = PlatformServer::try_start(PlatformOptions::default()).unwrap();
--- a/crates/beechsaddle-lab/tests/load_plan.rs
+++ b/crates/beechsaddle-lab/tests/load_plan.rs
@@ -1,8 +1,10 @@
-//! Tests of what the load tool draws in advance.
+//! Tests of the call plan of the load tool.
 
 use std::time::Duration;
 
-use beechsaddle_lab::load::{ArrivalPlan, CallKind, CallMix, PlanOptions, ShareTable, bears_mark};
+use beechsaddle_lab::load::{
+    ArrivalPlan, CallKind, CallMix, PlanOptions, ShareTable, contains_mark,
+};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -65,7 +67,7 @@
     for _ in 0..25_000 {
         counts[table.pick(&mut random)] += 1;
     }
-    // 1 + 1/2 + 1/3 + 1/4 = 25/12, so that the shares are 12, 6, 4 and 3 of 25.
+    // 1 + 1/2 + 1/3 + 1/4 = 25/12, so the shares are 12, 6, 4 and 3 of 25.
     for (count, share) in counts.into_iter().zip([12_000, 6_000, 4_000, 3_000]) {
         assert!(count.abs_diff(share) < 400, "{count} instead of {share}");
     }
@@ -79,15 +81,15 @@
 }
 
 #[test]
-fn mix_bad_text() {
+fn mix_invalid_text() {
     for text in ["", "1:2:3", "1:2:3:x", "0:0:0:0", "1:2:3:4:5"] {
-        assert!(text.parse::<CallMix>().is_err(), "{text:?} was taken");
+        assert!(text.parse::<CallMix>().is_err(), "{text:?} was accepted");
     }
 }
 
 #[test]
-fn mark_longer_mark() {
-    assert!(bears_mark("for load-1-2.", "load-1-2"));
-    assert!(!bears_mark("for load-1-23", "load-1-2"));
-    assert!(bears_mark("for load-1-23 and load-1-2", "load-1-2"));
+fn contains_mark_longer_mark() {
+    assert!(contains_mark("for load-1-2.", "load-1-2"));
+    assert!(!contains_mark("for load-1-23", "load-1-2"));
+    assert!(contains_mark("for load-1-23 and load-1-2", "load-1-2"));
 }
--- a/crates/beechsaddle-lab/tests/load_plot.rs
+++ b/crates/beechsaddle-lab/tests/load_plot.rs
@@ -1,4 +1,4 @@
-//! Tests of the load tool's chart.
+//! Tests of the latency chart of the load tool.
 
 use std::time::Duration;
 
--- a/crates/beechsaddle-lab/tests/load_proof.rs
+++ b/crates/beechsaddle-lab/tests/load_proof.rs
@@ -1,4 +1,4 @@
-//! Tests of the check of a run against what the targets say that ran.
+//! Tests of the check of a load run against the run reports of the targets.
 
 use std::collections::BTreeMap;
 
@@ -19,26 +19,26 @@
     }
 }
 
-// Two callers confirm one payout through routers of two domains. Each target sees the key once and
-// finds nothing wrong with it; only both together show that it ran twice.
+// Guards against double runs at different targets. Two callers confirm one payout through routers
+// of two domains; each target sees the key once, and only the sum shows that it ran twice.
 #[test]
 fn doubled_at_two_targets() {
     let mut totals = RunTotals::default();
     totals.add(report(&[("a@1#1.0", 1)], &[("k", 1), ("other", 1)]));
     totals.add(report(&[("b@1#1.0", 1)], &[("k", 1)]));
     let mut tally = LoadTally::try_new().unwrap();
-    tally.once_keys = vec!["k".to_owned(), "other".to_owned()];
+    tally.non_repeatable_keys = vec!["k".to_owned(), "other".to_owned()];
     assert_eq!(totals.doubled(&tally), 1);
 }
 
-// A router died with a chat's answer on its way, and the caller sent the chat again. That is what
-// the key is for, and no fault.
+// A repeatable chat that ran again after a router died while relaying its response is no fault:
+// its idempotency key permits the retry.
 #[test]
 fn doubled_chat_run_again() {
     let mut totals = RunTotals::default();
     totals.add(report(&[("a@1#1.0", 1), ("b@1#1.0", 1)], &[("chat", 2)]));
     let mut tally = LoadTally::try_new().unwrap();
-    tally.once_keys = vec!["k".to_owned()];
+    tally.non_repeatable_keys = vec!["k".to_owned()];
     assert_eq!(totals.doubled(&tally), 0);
 }
 
--- a/crates/beechsaddle-lab/tests/process_outages.rs
+++ b/crates/beechsaddle-lab/tests/process_outages.rs
@@ -1,11 +1,11 @@
-//! Tests with real processes while the platform has faults.
+//! Tests of router processes during faults of the platform.
 
 mod process_support;
 
 use std::time::Duration;
 
 use beechsaddle_lab::demo::demo_fleet::{CALL_COST, KEY, PLAIN_SERVICE};
-use beechsaddle_lab::fleet::{CallerAnswer, FleetCaller, LabFleet};
+use beechsaddle_lab::fleet::{CallerResponse, FleetCaller, LabFleet};
 use beechsaddle_lab::stand_in::RunReport;
 use beechsaddle_lab::stand_in::platform::{CallScope, FaultRule, PlatformFault, PlatformFaults};
 use bytes::Bytes;
@@ -13,7 +13,7 @@
 use http_body_util::Full;
 use process_support::*;
 
-/// Calls that show the holder a demand of a second and more.
+/// Calls that give the holder a measured demand over more than a second.
 const WARM_UP: u64 = 10;
 
 async fn set_faults(fleet: &LabFleet, faults: PlatformFaults) {
@@ -22,7 +22,7 @@
     assert!(answer.unwrap().status.is_success());
 }
 
-async fn claim(fleet: &LabFleet, host: &str, key: &str) -> CallerAnswer {
+async fn claim(fleet: &LabFleet, host: &str, key: &str) -> CallerResponse {
     let address = fleet.call_address(host).unwrap();
     let request = Request::post(format!("/svc/{PLAIN_SERVICE}/claims"))
         .header("host", "beechsaddle")
@@ -40,21 +40,21 @@
     ran.keys.get(key).copied().unwrap_or(0)
 }
 
-// A domain has callers, and the platform goes away. Chats are answered from the grant that the
-// domain holds, whose mark runs ahead of the measured demand. A claim needs a durable record first:
-// it is refused at once, as not run, and it did not run. When the platform is back the same claim
-// runs, once, and all bills reach the ledger.
+// The platform becomes unavailable while a domain has load. Chats are served from the grant that
+// the domain holds, whose high-water mark is ahead of the measured demand. A claim needs a durable
+// record first, so it is refused at once as not run, and did not run. After the outage the same
+// claim runs once, and all bills reach the ledger.
 #[tokio::test]
-async fn platform_away_chats_go_on() {
+async fn chats_continue_during_platform_outage() {
     let fleet = start_fleet().await;
     for number in 0..WARM_UP {
-        answer_in_the_end(&fleet, "split-1", 20, &format!("before-{number}")).await;
+        retry_until_answered(&fleet, "split-1", 20, &format!("before-{number}")).await;
     }
-    let away = PlatformFaults {
+    let outage = PlatformFaults {
         rules: vec![FaultRule::all(PlatformFault::Close)],
         ..PlatformFaults::default()
     };
-    set_faults(&fleet, away).await;
+    set_faults(&fleet, outage).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
     for (number, host) in ["split-1", "split-2", "split-3"].iter().enumerate() {
         let key = format!("away-{number}");
@@ -84,10 +84,10 @@
     check_bills(&fleet, WARM_UP + 4).await;
 }
 
-// Half of the writes take effect and their answers are lost. The writers have to find out which.
-// Every call gets its answer, claims run at most once, and each is billed once.
+// Half of the writes to the platform take effect but lose their responses, so the writers must find
+// out which. Every call gets a response, claims run at most once, and each is billed once.
 #[tokio::test]
-async fn platform_loses_answers() {
+async fn platform_loses_responses() {
     let fleet = start_fleet().await;
     let lossy = FaultRule {
         scope: CallScope::Writes,
@@ -103,7 +103,7 @@
     let mut claimed = 0;
     for number in 0..6 {
         let host = format!("split-{}", number % 3 + 1);
-        answer_in_the_end(&fleet, &host, 20, &format!("chat-{number}")).await;
+        retry_until_answered(&fleet, &host, 20, &format!("chat-{number}")).await;
         bills += 1;
         let key = format!("claim-{number}");
         let answer = claim(&fleet, &host, &key).await;
@@ -121,8 +121,7 @@
     assert!(totals.settled > claimed, "{totals:?}");
 }
 
-// One claim is sent through all routers at the same time, as by an impatient driver with three
-// devices. It runs once.
+// One claim that is sent through all three routers at the same time runs once.
 #[tokio::test]
 async fn claim_through_all_routers() {
     let fleet = start_fleet().await;
