--- a/crates/beechsaddle-lab/tests/process_partition.rs
+++ b/crates/beechsaddle-lab/tests/process_partition.rs
@@ -1,4 +1,4 @@
-//! A test with real processes of which one domain is cut off from the platform.
+//! Test of router processes of which one domain is partitioned from the platform.
 
 mod process_support;
 
@@ -31,7 +31,7 @@
     LabFleet::try_start(plan).await.unwrap()
 }
 
-/// Sends chats until one is refused; tells how many were answered and the reason of the refusal.
+/// Sends chats until one is refused. Returns the number of answered ones and the refusal reason.
 async fn spend(fleet: &LabFleet, host: &str, name: &str, calls: u64) -> (u64, Option<String>) {
     let address = fleet.call_address(host).unwrap();
     let caller = FleetCaller::new();
@@ -46,9 +46,9 @@
     (calls, None)
 }
 
-// Both domains spend one budget, and then one is cut off from the platform. It goes on with what it
-// was granted and refuses, as not run, when that is used up. The other one is topped up meanwhile,
-// and spends. When the cut ends all is billed, and no token was spent that was not paid for.
+// Two domains spend one budget until one is partitioned from the platform. It continues with its
+// grant, and refuses calls as not run when that is exhausted. The budget is topped up meanwhile and
+// the other domain spends on. After the partition all calls are billed and nothing is overspent.
 #[tokio::test]
 async fn domain_cut_off_while_topped_up() {
     let mut fleet = start_domains(3_000).await;
@@ -69,12 +69,15 @@
     let topped_up = catalogue_with_top_ups(&[("first", 3_000), ("second", 2_000)]);
     fleet.apply_catalogue(&topped_up).await.unwrap();
     let (cut_off, refusal) = spend(&fleet, "rijeka-1", "rijeka-b", 100).await;
-    assert!(refusal.is_some(), "the cut off domain spent without end");
+    assert!(
+        refusal.is_some(),
+        "the partitioned domain spent without limit"
+    );
     let (served, _) = spend(&fleet, "split-1", "split-b", 10).await;
-    assert!(served >= 5, "the other domain answered {served} calls only");
+    assert!(served >= 5, "the other domain answered only {served} calls");
 
-    let whole = PlatformFaults::default();
-    caller.post(&platform, "/faults", &whole).await.unwrap();
+    let no_faults = PlatformFaults::default();
+    caller.post(&platform, "/faults", &no_faults).await.unwrap();
     tokio::time::sleep(Duration::from_millis(500)).await;
     let totals = check_bills(&fleet, 4 + cut_off + served).await;
     assert_eq!(totals.topped_up, 5_000);
--- a/crates/beechsaddle-lab/tests/process_pauses.rs
+++ b/crates/beechsaddle-lab/tests/process_pauses.rs
@@ -1,4 +1,4 @@
-//! Tests with real processes that are frozen and go on, or shut down.
+//! Tests of router processes that are frozen and resumed, or shut down.
 
 mod process_support;
 
@@ -7,9 +7,9 @@
 use beechsaddle_lab::fleet::FleetCaller;
 use process_support::*;
 
-// The holder of the budget is frozen for longer than it takes to be fenced, and then goes on and
-// believes that it still holds the budget. Meanwhile the others serve through a successor. After
-// it goes on, calls through it are answered too, and no token is spent twice.
+// The holder of the budget is frozen until after it has been fenced, and resumes in the state of a
+// holder. Meanwhile the other routers serve through a successor. After the holder resumes, calls
+// through it are answered too, and no token is spent twice.
 #[tokio::test]
 async fn holder_frozen_and_thawed() {
     let mut fleet = start_fleet().await;
@@ -18,18 +18,18 @@
     fleet.process(&holder).unwrap().freeze().unwrap();
     for (number, host) in hosts.iter().enumerate() {
         let key = format!("frozen-{number}");
-        let answer = answer_in_the_end(&fleet, host, 20, &key).await;
+        let answer = retry_until_answered(&fleet, host, 20, &key).await;
         assert!(answer.chat_content().is_some());
     }
     tokio::time::sleep(Duration::from_millis(1500)).await;
     fleet.process(&holder).unwrap().thaw().unwrap();
-    let answer = answer_in_the_end(&fleet, &holder, 20, "thawed").await;
+    let answer = retry_until_answered(&fleet, &holder, 20, "thawed").await;
     assert!(answer.chat_content().is_some());
     check_bills(&fleet, 4).await;
 }
 
-// A router is frozen in the middle of a stream that it relays, and goes on after the others have
-// given it up. Its caller is patient: the stream is either whole or visibly broken, and billed once.
+// An entry router is frozen during a stream, and resumes after its peers have marked it down. Its
+// caller does not time out: the stream is either complete or visibly truncated, and billed once.
 #[tokio::test]
 async fn entry_frozen_mid_stream() {
     let mut fleet = start_fleet().await;
@@ -44,13 +44,13 @@
     assert_eq!(
         is_whole,
         stream.has_ended(),
-        "an answer with an end is not whole"
+        "a stream with an end is not complete"
     );
     check_bills(&fleet, 2).await;
 }
 
-// A router is asked to shut down while it relays a long stream. The stream goes on to its end,
-// nothing new is taken, and the process ends by itself with its bills handed over.
+// A router is terminated while it relays a long stream. The stream continues to its end, new calls
+// are not accepted, and the process exits by itself after handing over its bills.
 #[tokio::test]
 async fn drain_with_long_stream() {
     let mut fleet = start_fleet().await;
@@ -67,9 +67,9 @@
         let address = fleet.call_address(host).unwrap();
         let late = FleetCaller::new().send(&address, chat(1, "late")).await;
         let taken = late.is_ok_and(|answer| answer.status.is_success());
-        assert!(!taken, "a draining router took a call");
-        assert!(stream.read_all().await, "the drain cut a stream");
-        let status = fleet.process(host).unwrap().wait(PATIENCE).unwrap();
+        assert!(!taken, "a draining router accepted a call");
+        assert!(stream.read_all().await, "the drain truncated a stream");
+        let status = fleet.process(host).unwrap().wait(WAIT_TIMEOUT).unwrap();
         assert_eq!(status.map(|status| status.code()), Some(Some(0)));
     }
     let totals = check_bills(&fleet, 3).await;
--- a/crates/beechsaddle-lab/tests/process_support/mod.rs
+++ b/crates/beechsaddle-lab/tests/process_support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests with real processes share.
+//! Support code of the tests with router processes.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -8,7 +8,7 @@
 use beechsaddle_core::status::RouterStatus;
 use beechsaddle_lab::demo::demo_fleet::{ENGINE_SERVICE, KEY, MODEL, PLAIN_SERVICE, catalogue};
 use beechsaddle_lab::fleet::{
-    CallerAnswer, FleetCaller, FleetPlan, LabFleet, RouterPlan, TargetPlan, chat_body,
+    CallerResponse, FleetCaller, FleetPlan, LabFleet, RouterPlan, TargetPlan, chat_body,
 };
 use beechsaddle_lab::load::{HttpClient, LedgerTotals, OpenConnection, PlatformReader, SseLines};
 use beechsaddle_lab::stand_in::ChatProof;
@@ -18,10 +18,10 @@
 use hyper::body::Incoming;
 use serde_json::Value;
 
-/// How long anything may take that has to come about.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of every wait for an expected event.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Shorter spans than in production, so that a dead router is noticed within a test.
+/// Shorter periods than in production, so that a dead router is detected within a test.
 pub const QUICK_SETTINGS: &str = "
 [peers]
 heartbeat_ms = 100
@@ -36,7 +36,7 @@
 probe_ms = 100
 ";
 
-/// Three routers in one domain, two engines and a plain service.
+/// Starts three routers in one domain, two engines and a plain service.
 pub async fn start_fleet() -> LabFleet {
     let domain = "split-hala";
     let engine = |host: &str| {
@@ -60,7 +60,7 @@
     LabFleet::try_start(plan).await.unwrap()
 }
 
-/// A streamed chat whose answer has this many tokens.
+/// Returns a streamed chat whose response has this many tokens.
 pub fn chat(tokens: u64, key: &str) -> Request<Full<Bytes>> {
     let text = format!("tokens={tokens} request {key}");
     let body = chat_body(MODEL, &text, true, tokens).to_string();
@@ -72,7 +72,7 @@
         .unwrap()
 }
 
-/// A stream that is being read.
+/// A stream that is being received.
 pub struct OpenStream {
     response: Response<Incoming>,
     _connection: OpenConnection,
@@ -82,7 +82,7 @@
     pub done: bool,
 }
 
-/// Sends a chat and reads its head.
+/// Sends a chat and reads the head of its response.
 pub async fn open_stream(fleet: &LabFleet, host: &str, tokens: u64, key: &str) -> OpenStream {
     let address = fleet.call_address(host).unwrap();
     let client = HttpClient::new();
@@ -99,7 +99,7 @@
 }
 
 impl OpenStream {
-    /// Reads on; `false` when the stream has ended or broken off.
+    /// Reads the next frame. Returns `false` if the stream has ended or was truncated.
     pub async fn read_frame(&mut self) -> bool {
         let Some(Ok(frame)) = self.response.frame().await else {
             return false;
@@ -113,20 +113,20 @@
         true
     }
 
-    /// Reads until some of the answer is there.
+    /// Reads until several tokens of the response have been received.
     pub async fn read_some(&mut self) {
         while self.content.split(' ').count() < 10 {
             assert!(self.read_frame().await, "the stream ended too early");
         }
     }
 
-    /// Reads to the end, and tells whether the answer is whole.
+    /// Reads to the end. Returns whether the response is complete.
     pub async fn read_all(&mut self) -> bool {
         while self.read_frame().await {}
         self.done && ChatProof::read(&self.content).is_some()
     }
 
-    /// Whether the end of the answer was read.
+    /// Whether the end of the response was received.
     pub fn has_ended(&self) -> bool {
         self.done
     }
@@ -145,17 +145,17 @@
     }
 }
 
-/// Sends a chat again and again, as a caller does, until it gets its answer.
-pub async fn answer_in_the_end(
+/// Retries a chat with the same key until it succeeds.
+pub async fn retry_until_answered(
     fleet: &LabFleet,
     host: &str,
     tokens: u64,
     key: &str,
-) -> CallerAnswer {
+) -> CallerResponse {
     let address = fleet.call_address(host).unwrap();
     let started = Instant::now();
     let mut refusals = Vec::new();
-    while started.elapsed() < PATIENCE {
+    while started.elapsed() < WAIT_TIMEOUT {
         let answer = FleetCaller::new().send(&address, chat(tokens, key)).await;
         match answer {
             Ok(answer) if answer.status.is_success() => return answer,
@@ -165,12 +165,12 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     refusals.dedup();
-    panic!("no answer through {host}: {refusals:?}");
+    panic!("no response through {host}: {refusals:?}");
 }
 
-/// The router that holds the grant of the budget, after a call that made one take it.
+/// Sends a call, so that a router takes a grant, and returns the host of that router.
 pub async fn find_holder(fleet: &LabFleet) -> String {
-    answer_in_the_end(fleet, "split-1", 1, "first").await;
+    retry_until_answered(fleet, "split-1", 1, "first").await;
     for (host, router) in fleet.routers() {
         let admin = router.file.admin_address.to_string();
         let status: RouterStatus = FleetCaller::new()
@@ -184,27 +184,27 @@
     panic!("no router holds a grant");
 }
 
-/// The hosts of the other routers.
+/// Returns the hosts of all other routers.
 pub fn others(fleet: &LabFleet, host: &str) -> Vec<String> {
     let hosts = fleet.routers().keys().map(ToString::to_string);
     hosts.filter(|name| name != host).collect()
 }
 
-/// Kills a router's host; the platform's list says so some time later.
-pub async fn lose_host(fleet: &mut LabFleet, host: &str) {
+/// Kills a router's host, which the platform removes from its list some time later.
+pub async fn kill_host(fleet: &mut LabFleet, host: &str) {
     fleet.kill_router(host).unwrap();
     tokio::time::sleep(Duration::from_millis(200)).await;
     fleet.set_router_listed(host, false).await.unwrap();
 }
 
-/// Waits until the ledger has this many bills, and a little longer to see that no more come.
-/// Checks that it has just these, and that nothing is overspent.
+/// Waits until the ledger has this many bills, and a little longer to detect excess ones. Checks
+/// that it has exactly these, and that nothing is overspent.
 pub async fn check_bills(fleet: &LabFleet, bills: u64) -> LedgerTotals {
     let platform = PlatformReader::new(fleet.platform().to_string());
     let started = Instant::now();
     loop {
         let totals = LedgerTotals::read(&platform).await.unwrap();
-        if totals.bills >= bills || started.elapsed() > PATIENCE {
+        if totals.bills >= bills || started.elapsed() > WAIT_TIMEOUT {
             break;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
--- a/crates/beechsaddle-lab/tests/soak_seeds.rs
+++ b/crates/beechsaddle-lab/tests/soak_seeds.rs
@@ -1,4 +1,4 @@
-//! A short soak of gateways as processes, with faults from outside; `beechsaddle-lab soak` runs more.
+//! Short soak runs of gateway processes with fault injection; `beechsaddle-lab soak` runs more.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -19,31 +19,33 @@
         has_target_faults,
     };
     let outcome = run_seed(&options, seed).await.expect("a run");
-    assert!(outcome.broken.is_empty(), "{outcome:#?}");
+    assert!(outcome.violations.is_empty(), "{outcome:#?}");
     assert!(outcome.answered * 2 > outcome.calls, "{outcome:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn soak_short_seed_keeps_the_promises() {
+async fn soak_short_seed_keeps_all_invariants() {
     check_seed(1, 6).await;
 }
 
-/// A router is told to end, and is killed and started again before it has ended. The soak waited for
-/// the end of the process that took its place, for ever.
+/// Guards against a hang of the soak. A router is terminated, then killed and restarted before it
+/// has exited; the soak waited forever for the exit of the new process.
 #[tokio::test(flavor = "multi_thread")]
-async fn soak_router_killed_while_it_ends_is_not_waited_for() {
+async fn soak_router_killed_during_shutdown_does_not_hang() {
     check_seed(135, 8).await;
 }
 
-/// The store falls silent for less than a second, between two probes, and forgets the watches of all
-/// routers. With watches of fifteen seconds the routers missed a version and a leaving target for as long.
+/// Guards against lost watches that are not detected. The store stops responding for less than a
+/// second, between two probes, and drops the watches of all routers. With watches of fifteen
+/// seconds, the routers missed a version and a draining target for as long.
 #[tokio::test(flavor = "multi_thread")]
-async fn soak_watches_forgotten_between_probes_are_noticed() {
+async fn soak_watches_lost_between_probes_are_detected() {
     check_seed(1_796_252_320, 8).await;
 }
 
-/// Guards against targets that crash, requests that crash them and limits, all beside the faults of a fleet.
+/// Guards against failures when targets crash, requests crash them and limits apply, together
+/// with the faults of a fleet.
 #[tokio::test(flavor = "multi_thread")]
-async fn soak_crashes_and_limits_keep_the_promises() {
+async fn soak_crashes_and_limits_keep_all_invariants() {
     check_faults(2, 6, true).await;
 }
--- a/crates/beechsaddle-lab/tests/stand_in_engine.rs
+++ b/crates/beechsaddle-lab/tests/stand_in_engine.rs
@@ -5,7 +5,7 @@
 use beechsaddle_core::hash::prefix_chain;
 use beechsaddle_core::names::ModelName;
 use beechsaddle_core::target::{CacheUpdate, EngineRole, EngineState};
-use beechsaddle_lab::fleet::{CallerAnswer, FleetCaller, chat_body};
+use beechsaddle_lab::fleet::{CallerResponse, FleetCaller, chat_body};
 use beechsaddle_lab::load::HttpClient;
 use beechsaddle_lab::stand_in::engine::EngineOrder;
 use beechsaddle_lab::stand_in::{
@@ -31,7 +31,10 @@
         .unwrap()
 }
 
-async fn ask(address: &str, request: Request<Full<Bytes>>) -> eyre::Result<CallerAnswer> {
+async fn send_request(
+    address: &str,
+    request: Request<Full<Bytes>>,
+) -> eyre::Result<CallerResponse> {
     FleetCaller::new().send(address, request).await
 }
 
@@ -46,11 +49,11 @@
 }
 
 #[tokio::test]
-async fn chat_whole_and_streamed() {
+async fn chat_buffered_and_streamed() {
     let (server, address) = engine(EngineOptions::default());
     let text = "tokens=5 crate request-7";
     for streamed in [false, true] {
-        let answer = ask(&address, chat(text, streamed, 100, "r@1#2.0")).await;
+        let answer = send_request(&address, chat(text, streamed, 100, "r@1#2.0")).await;
         let answer = answer.unwrap();
         assert_eq!(answer.headers["beechsaddle-attempt"], "r@1#2.0");
         let proof = ChatProof::read(&answer.chat_content().unwrap()).unwrap();
@@ -69,7 +72,7 @@
 #[tokio::test]
 async fn chat_max_tokens() {
     let (_server, address) = engine(EngineOptions::default());
-    let answer = ask(&address, chat("tokens=50", false, 3, "a"))
+    let answer = send_request(&address, chat("tokens=50", false, 3, "a"))
         .await
         .unwrap();
     let body = answer.json();
@@ -83,29 +86,29 @@
     let body = chat_body("large", "hello", false, 3).to_string();
     let request = Request::post("/v1/chat/completions").header("host", "engine");
     let request = request.body(Full::new(Bytes::from(body))).unwrap();
-    let answer = ask(&address, request).await.unwrap();
+    let answer = send_request(&address, request).await.unwrap();
     assert_eq!(answer.status, StatusCode::NOT_FOUND);
     assert_eq!(server.ran().started, 0);
 }
 
-// The engine dies in the middle of a stream: the connection breaks off without an end.
+// The engine dies during a stream, so the connection closes without the end of the stream.
 #[tokio::test]
 async fn chat_dies_after_tokens() {
     let (server, address) = engine(EngineOptions::default());
     server.set_faults(one_fault(TargetFault::DieAfter { tokens: 3 }));
-    let broken = ask(&address, chat("tokens=9", true, 100, "a")).await;
-    assert!(broken.is_err());
+    let truncated = send_request(&address, chat("tokens=9", true, 100, "a")).await;
+    assert!(truncated.is_err());
     let ran = server.ran();
     assert_eq!(
         (ran.started, ran.completed, ran.cancelled, ran.tokens),
         (1, 0, 1, 3)
     );
-    let whole = ask(&address, chat("tokens=9", true, 100, "b")).await;
-    assert!(whole.unwrap().chat_content().is_some());
+    let complete = send_request(&address, chat("tokens=9", true, 100, "b")).await;
+    assert!(complete.unwrap().chat_content().is_some());
 }
 
 #[tokio::test]
-async fn chat_faults_and_what_ran() {
+async fn chat_faults_and_reported_runs() {
     let (server, address) = engine(EngineOptions::default());
     let expected = [
         (TargetFault::ServerError, Some(500), 1),
@@ -116,7 +119,9 @@
     for (fault, status, runs) in expected {
         let before = server.ran().started;
         server.set_faults(one_fault(fault));
-        let answer = ask(&address, chat("hello", false, 3, "a")).await.ok();
+        let answer = send_request(&address, chat("hello", false, 3, "a"))
+            .await
+            .ok();
         let found = answer.map(|answer| answer.status.as_u16());
         assert_eq!(found, status, "{fault:?}");
         assert_eq!(server.ran().started - before, runs, "{fault:?}");
@@ -127,14 +132,16 @@
 async fn chat_wrong_attempt() {
     let (server, address) = engine(EngineOptions::default());
     server.set_faults(one_fault(TargetFault::WrongAttempt));
-    let answer = ask(&address, chat("hello", false, 3, "a")).await.unwrap();
+    let answer = send_request(&address, chat("hello", false, 3, "a"))
+        .await
+        .unwrap();
     assert_ne!(answer.headers["beechsaddle-attempt"], "a");
     assert_eq!(server.ran().attempts["a"], 1);
 }
 
-// The caller hangs up in the middle of a stream: the engine stops, and the rest is not generated.
+// The caller disconnects during a stream, so the engine stops and does not generate the remainder.
 #[tokio::test]
-async fn chat_client_hangs_up() {
+async fn chat_client_disconnects() {
     let (server, address) = engine(EngineOptions {
         between_tokens_ms: 5,
         ..EngineOptions::default()
@@ -164,21 +171,23 @@
     });
     let caller = FleetCaller::new();
     let text = "bread ".repeat(200);
-    ask(&address, chat(&text, false, 1, "a")).await.unwrap();
+    send_request(&address, chat(&text, false, 1, "a"))
+        .await
+        .unwrap();
     let early: CacheUpdate = caller.get(&address, "/cache-events?after=0").await.unwrap();
     assert_eq!(early, CacheUpdate::default());
     tokio::time::sleep(Duration::from_millis(80)).await;
-    let news: CacheUpdate = caller.get(&address, "/cache-events?after=0").await.unwrap();
+    let update: CacheUpdate = caller.get(&address, "/cache-events?after=0").await.unwrap();
     let chain = prefix_chain(format!("user\n{text}\n"));
-    assert_eq!(news.added, chain);
-    assert_eq!(news.removed, chain[..chain.len() - 3]);
-    let later = format!("/cache-events?after={}", news.next);
+    assert_eq!(update.added, chain);
+    assert_eq!(update.removed, chain[..chain.len() - 3]);
+    let later = format!("/cache-events?after={}", update.next);
     let nothing: CacheUpdate = caller.get(&address, &later).await.unwrap();
-    assert!(nothing.added.is_empty() && nothing.first == news.next);
+    assert!(nothing.added.is_empty() && nothing.first == update.next);
 }
 
 #[tokio::test]
-async fn order_old_fence() {
+async fn order_outdated_fence() {
     let state = |version| EngineState {
         model: ModelName::new("small"),
         version,
--- a/crates/beechsaddle-lab/tests/stand_in_plain.rs
+++ b/crates/beechsaddle-lab/tests/stand_in_plain.rs
@@ -1,8 +1,8 @@
-//! Tests of the plain service stand-in.
+//! Tests of the stand-in for plain services.
 
 use std::time::Duration;
 
-use beechsaddle_lab::fleet::{CallerAnswer, FleetCaller};
+use beechsaddle_lab::fleet::{CallerResponse, FleetCaller};
 use beechsaddle_lab::stand_in::{
     PlainEcho, PlainOptions, PlainServer, TargetFault, TargetFaults, TargetRule,
 };
@@ -10,7 +10,7 @@
 use http::Request;
 use http_body_util::Full;
 
-async fn claim(address: &str, key: &str) -> eyre::Result<CallerAnswer> {
+async fn claim(address: &str, key: &str) -> eyre::Result<CallerResponse> {
     let request = Request::post("/claims?crate=17")
         .header("host", "plain")
         .header("idempotency-key", key)
@@ -26,7 +26,7 @@
     for runs in 1..=2 {
         let answer = claim(&address, "k").await.unwrap();
         let echo: PlainEcho = serde_json::from_str(&answer.body).unwrap();
-        let wanted = PlainEcho {
+        let expected = PlainEcho {
             method: "POST".to_owned(),
             path: "/claims".to_owned(),
             query: "crate=17".to_owned(),
@@ -35,13 +35,13 @@
             attempt: "r@1#1.0".to_owned(),
             runs,
         };
-        assert_eq!(echo, wanted);
+        assert_eq!(echo, expected);
     }
     assert_eq!(server.ran().keys["k"], 2);
 }
 
 #[tokio::test]
-async fn call_faults_and_what_ran() {
+async fn call_faults_and_reported_runs() {
     let server = PlainServer::try_start(PlainOptions::default()).unwrap();
     let address = server.address().to_string();
     let expected = [
--- a/crates/beechsaddle-lab/tests/unproved_page.rs
+++ b/crates/beechsaddle-lab/tests/unproved_page.rs
@@ -1,4 +1,4 @@
-//! Tests that the page of proofs names tests that exist.
+//! Test that all tests named in `docs/UNPROVED.md` exist.
 
 use std::collections::BTreeSet;
 use std::fs;
