--- a/crates/beechsaddle-core/src/accounting/accounting_manager.rs
+++ b/crates/beechsaddle-core/src/accounting/accounting_manager.rs
@@ -20,7 +20,7 @@
 use super::shard_writer::ShardWriter;
 use crate::members::MemberTable;
 use crate::objects::FleetLayout;
-use crate::peer::{AdmitRequest, PeerMessage, WitnessNote};
+use crate::peer::{AdmitRequest, PeerMessage, UsageCopy};
 use crate::platform::{PlatformReply, PlatformTicket};
 use crate::prelude::*;
 use crate::status::GrantStatus;
@@ -44,10 +44,10 @@
     pub(super) holdings: BTreeMap<BudgetName, BudgetHolding>,
     pub(super) lookups: LookupTable,
     /// Usage copies of other routers' calls.
-    pub(super) usage_copies: BTreeMap<CallId, WitnessNote>,
+    pub(super) usage_copies: BTreeMap<CallId, UsageCopy>,
     /// Copies of ended calls whose entry router is gone, to be sent to holders that are still
     /// running.
-    pub(super) forwards: BTreeMap<CallId, WitnessNote>,
+    pub(super) forwards: BTreeMap<CallId, UsageCopy>,
     pub(super) forwarded_at: ClockTime,
     /// Calls of other routers that are billed for good, with the time of the report.
     pub(super) closed_calls: BTreeMap<CallId, ClockTime>,
--- a/crates/beechsaddle-core/src/accounting/entry_call.rs
+++ b/crates/beechsaddle-core/src/accounting/entry_call.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::ClockTime;
 use crate::names::{KeyText, RouterIncarnation};
-use crate::peer::{AdmitRequest, SettleRequest, WitnessNote};
+use crate::peer::{AdmitRequest, SettleRequest, UsageCopy};
 
 /// The stage of a call at its entry router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,9 +80,9 @@
         }
     }
 
-    pub(super) fn usage_copy(&self) -> Option<WitnessNote> {
+    pub(super) fn usage_copy(&self) -> Option<UsageCopy> {
         let journal = self.journal.clone()?;
-        Some(WitnessNote {
+        Some(UsageCopy {
             settle: self.settle_request(Some(journal.clone())),
             journal,
             ended: self.stage == EntryStage::Ended,
--- a/crates/beechsaddle-core/src/accounting/event_context.rs
+++ b/crates/beechsaddle-core/src/accounting/event_context.rs
@@ -5,7 +5,7 @@
 use crate::prelude::*;
 use crate::report::{CounterName, LogLevel, LogLine, ReportAction};
 
-/// The time, the members and the outbox of one event.
+/// The time, the known routers and the queued actions while one event is handled.
 #[derive(Debug)]
 pub(super) struct EventContext<'a> {
     pub(super) now: ClockTime,
@@ -51,7 +51,7 @@
         self.outbox.act(ReportAction::Log(line));
     }
 
-    /// Whether another router is known but not live: it is dead, suspended or cut off.
+    /// Whether another router is known but not live: it is dead, suspended or partitioned.
     pub(super) fn is_silent(&self, router: &RouterIncarnation) -> bool {
         let entry = self.members.get(router);
         *router != *self.members.me()
--- a/crates/beechsaddle-core/src/accounting/key_table.rs
+++ b/crates/beechsaddle-core/src/accounting/key_table.rs
@@ -48,8 +48,8 @@
         };
         // The entry router of a running call may have died with the caller's stream, while its host
         // may stay on the platform's list for long. Until then the caller would be refused because
-        // the key is running. If the router was only cut off, both calls run, and the ledger bills
-        // the larger of the two runs.
+        // the key is running. If the router was only partitioned, both calls run, and the ledger
+        // bills the larger of the two runs.
         let is_lost = is_silent(&entry.call.router);
         if entry.is_running && entry.call != *call && !is_lost {
             let retry_after_ms = Some(RUNNING_RETRY_MS);
--- a/crates/beechsaddle-core/src/accounting/manager_dispatch.rs
+++ b/crates/beechsaddle-core/src/accounting/manager_dispatch.rs
@@ -166,7 +166,7 @@
     }
 
     /// Ensures that a journal is folded once it is closed. It is closed only if its router is known
-    /// to be gone: fencing a router that is merely cut off would make it refuse calls.
+    /// to be gone: fencing a router that is merely partitioned would make it refuse calls.
     pub(super) fn ensure_job(&mut self, _now: ClockTime, journal: &KeyText) {
         let router = journal_router(journal);
         let may_close = router.is_some_and(|router| self.scans.contains_key(&router));
--- a/crates/beechsaddle-core/src/accounting/manager_late.rs
+++ b/crates/beechsaddle-core/src/accounting/manager_late.rs
@@ -1,4 +1,4 @@
-//! The `manager_late` module provides late bills, final spends and backup copies of other routers'
+//! The `manager_late` module provides late bills, final spends and usage copies of other routers'
 //! calls.
 
 use std::collections::BTreeSet;
@@ -9,7 +9,7 @@
 use super::journal_segment::{BillRecord, FinalSpend};
 use super::late_bill::LateBill;
 use super::manager_settle::bill_from;
-use crate::peer::{PeerMessage, SettleRequest, WitnessNote};
+use crate::peer::{PeerMessage, SettleRequest, UsageCopy};
 use crate::prelude::*;
 
 /// The next step for a late bill.
@@ -180,7 +180,7 @@
         &mut self,
         context: &mut EventContext<'_>,
         from: &RouterIncarnation,
-        copy: WitnessNote,
+        copy: UsageCopy,
     ) {
         let call = copy.settle.call.clone();
         if self.is_draining() || self.closed_calls.contains_key(&call) {
@@ -256,7 +256,7 @@
         }
     }
 
-    fn bill_copy(&mut self, context: &mut EventContext<'_>, copy: WitnessNote) {
+    fn bill_copy(&mut self, context: &mut EventContext<'_>, copy: UsageCopy) {
         if copy.settle.ran {
             let bill = bill_from(&copy.settle, !copy.ended);
             self.add_late(context, copy.journal, bill);
--- a/crates/beechsaddle-core/src/admission/share_window.rs
+++ b/crates/beechsaddle-core/src/admission/share_window.rs
@@ -14,7 +14,7 @@
 }
 
 impl ShareWindow {
-    /// Records the share computed from current demand and returns the share in force.
+    /// Records the share computed from current demand and returns the share in effect.
     ///
     /// When demand moves between routers, both would use the same part of the limit if the growing
     /// share took effect before the other router received the update. The minimum over the last
@@ -38,7 +38,7 @@
         self.current()
     }
 
-    /// The share in force; zero before the first sample.
+    /// The share in effect; zero before the first sample.
     pub fn current(&self) -> f64 {
         self.samples
             .iter()
--- a/crates/beechsaddle-core/src/calls/call_context.rs
+++ b/crates/beechsaddle-core/src/calls/call_context.rs
@@ -10,7 +10,7 @@
 
 /// The other parts of the core, borrowed for one event.
 pub struct CallContext<'a> {
-    /// The catalogue in force.
+    /// The catalogue in effect.
     pub view: &'a CatalogueView,
     /// The routers of the domain.
     pub members: &'a MemberTable,
--- a/crates/beechsaddle-core/src/calls/call_record.rs
+++ b/crates/beechsaddle-core/src/calls/call_record.rs
@@ -27,7 +27,7 @@
     Settling,
 }
 
-/// The terms of a call under the catalogue in force at its arrival.
+/// The terms of a call under the catalogue in effect at its arrival.
 #[derive(Clone, Debug)]
 pub(super) struct CallTerms {
     pub workspace: Arc<WorkspaceEntry>,
--- a/crates/beechsaddle-core/src/catalogue/catalogue_manager.rs
+++ b/crates/beechsaddle-core/src/catalogue/catalogue_manager.rs
@@ -21,9 +21,9 @@
 
 /// Follows the catalogue: from the platform if this router watches it, from peers otherwise.
 ///
-/// The revision in force only increases: a change applies only to the revision right before it, and
-/// a base only if it is newer. A router that cannot reach the platform retains its catalogue, and
-/// one that restarts during an outage takes the highest revision of its peers.
+/// The revision in effect only increases: a change applies only to the revision right before it,
+/// and a base only if it is newer. A router that cannot reach the platform retains its catalogue,
+/// and one that restarts during an outage takes the highest revision of its peers.
 #[derive(Debug)]
 pub struct CatalogueManager {
     options: CatalogueOptions,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The catalogue in force.
+    /// The catalogue in effect.
     pub fn view(&self) -> &CatalogueView {
         &self.view
     }
--- a/crates/beechsaddle-core/src/catalogue/catalogue_options.rs
+++ b/crates/beechsaddle-core/src/catalogue/catalogue_options.rs
@@ -6,7 +6,7 @@
     /// How many routers of a domain watch the platform; the others receive changes from them.
     pub watchers: usize,
     /// How often a router that does not watch polls the platform, in milliseconds. Changes must be
-    /// in force within 12 s even if all watchers of the domain are dead or cut off from the
+    /// in effect within 12 s even if all watchers of the domain are dead or cut off from the
     /// platform.
     pub poll_ms: u64,
     /// How long a router does not watch after its start, in milliseconds. Before it has received
--- a/crates/beechsaddle-core/src/catalogue/catalogue_reader.rs
+++ b/crates/beechsaddle-core/src/catalogue/catalogue_reader.rs
@@ -29,7 +29,7 @@
         head: CatalogueHead,
         parts: Vec<CatalogueBase>,
     },
-    /// Reads the change after the revision in force.
+    /// Reads the change after the revision in effect.
     Change,
     /// Waits for a change.
     Watch,
@@ -49,7 +49,7 @@
 /// The inputs for the choice of the next call.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReaderContext {
-    /// The revision in force.
+    /// The revision in effect.
     pub revision: u64,
     /// Whether this router watches; otherwise it polls.
     pub is_watcher: bool,
@@ -167,7 +167,7 @@
         self.call(now, call, outbox);
     }
 
-    /// Skips a base that is so close to the revision in force that reading the changes costs less.
+    /// Skips a base that is so close to the revision in effect that reading the changes costs less.
     fn skip_base(&mut self, context: ReaderContext) {
         let ReadStep::Part { head, .. } = &self.step else {
             return;
--- a/crates/beechsaddle-core/src/catalogue/catalogue_view.rs
+++ b/crates/beechsaddle-core/src/catalogue/catalogue_view.rs
@@ -28,7 +28,7 @@
         CatalogueView::default()
     }
 
-    /// The revision in force; zero when there is none.
+    /// The revision in effect; zero when there is none.
     pub fn revision(&self) -> u64 {
         self.revision
     }
--- a/crates/beechsaddle-core/src/dedup/platform_availability.rs
+++ b/crates/beechsaddle-core/src/dedup/platform_availability.rs
@@ -11,7 +11,7 @@
     paused_until: ClockTime,
     /// Whether the pause is due to an unreachable platform, rather than to throttling.
     is_unreachable: bool,
-    /// When the last reply arrived.
+    /// The time at which the last reply arrived.
     answered_at: ClockTime,
 }
 
--- a/crates/beechsaddle-core/src/gateway/change_log.rs
+++ b/crates/beechsaddle-core/src/gateway/change_log.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeReply {
     /// Changes, the oldest first.
-    News(Vec<ChangeBatch>),
+    Changes(Vec<ChangeBatch>),
     /// No newer changes are known.
     Nothing,
     /// Changes after that revision are no longer retained.
@@ -90,7 +90,7 @@
         let newer: Vec<_> = newer.cloned().collect();
         match newer.is_empty() {
             true => ChangeReply::Nothing,
-            false => ChangeReply::News(newer),
+            false => ChangeReply::Changes(newer),
         }
     }
 
--- a/crates/beechsaddle-core/src/gateway/change_source.rs
+++ b/crates/beechsaddle-core/src/gateway/change_source.rs
@@ -25,7 +25,7 @@
 /// Number of routers that may time out before the store is asked, within `TIMEOUT_WINDOW_MS`. Each
 /// costs the time of an answer, and with more of them a change would take effect too late.
 const TIMEOUTS_MAX: usize = 2;
-/// The window for counting time-outs, in milliseconds.
+/// The window for counting timeouts, in milliseconds.
 const TIMEOUT_WINDOW_MS: u64 = 3_000;
 
 /// The smallest number of routers of a domain that relay changes. With fewer, nearly all follow the
@@ -38,7 +38,7 @@
 
 /// How long a follower that follows another router is skipped, in milliseconds. When asked, it
 /// starts to follow the store within one step of its own.
-const BEGINNING_MS: u64 = 700;
+const STARTING_MS: u64 = 700;
 
 /// How long a follower that did not answer is skipped, in milliseconds: until the list of routers
 /// may show that it is gone, and the next in order replaces it.
@@ -62,9 +62,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowFailure {
     /// It cannot reach the store, or its state is outdated.
-    Away,
+    Unavailable,
     /// It follows another router itself.
-    Beginning,
+    Starting,
     /// It does not answer.
     Silent,
 }
@@ -73,16 +73,16 @@
     /// Returns the name of the failure in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            FollowFailure::Away => "away",
-            FollowFailure::Beginning => "beginning",
+            FollowFailure::Unavailable => "away",
+            FollowFailure::Starting => "beginning",
             FollowFailure::Silent => "silent",
         }
     }
 
     fn span_ms(self) -> u64 {
         match self {
-            FollowFailure::Away => UNREACHABLE_MS,
-            FollowFailure::Beginning => BEGINNING_MS,
+            FollowFailure::Unavailable => UNREACHABLE_MS,
+            FollowFailure::Starting => STARTING_MS,
             FollowFailure::Silent => SILENT_MS,
         }
     }
@@ -91,7 +91,7 @@
 /// The choice of the source of changes.
 #[derive(Clone, Debug, Default)]
 pub struct SourceSelector {
-    asked_at: Option<ClockTime>,
+    last_request_at: Option<ClockTime>,
     suspected_until: BTreeMap<HostName, ClockTime>,
     timeouts: Vec<ClockTime>,
 }
@@ -119,7 +119,7 @@
 
     /// Whether this router should follow the store, as other routers of its domain rely on it.
     pub fn is_follower(&self, now: ClockTime, ring: &PeerRing) -> bool {
-        self.was_asked(now)
+        self.was_requested(now)
             || ring
                 .followers(now, FOLLOWER_COUNT, RELAY_ROUTERS_MIN)
                 .is_empty()
@@ -131,8 +131,8 @@
     }
 
     /// Records that another router asks this one for changes.
-    pub fn record_asked(&mut self, now: ClockTime) {
-        self.asked_at = Some(now);
+    pub fn record_request(&mut self, now: ClockTime) {
+        self.last_request_at = Some(now);
     }
 
     /// Records that a follower returned no changes; it is skipped for a time that depends on the
@@ -153,8 +153,8 @@
         recent.count() >= TIMEOUTS_MAX
     }
 
-    fn was_asked(&self, now: ClockTime) -> bool {
-        self.asked_at
+    fn was_requested(&self, now: ClockTime) -> bool {
+        self.last_request_at
             .is_some_and(|at| now.since(at) < FOLLOWER_TTL_MS)
     }
 }
--- a/crates/beechsaddle-core/src/gateway/escrow_account.rs
+++ b/crates/beechsaddle-core/src/gateway/escrow_account.rs
@@ -231,9 +231,9 @@
     }
 
     /// Whether the ledger should be written at once.
-    pub(super) fn asks_ledger(&self) -> bool {
-        let is_asked = self.is_waiting() && self.role == EscrowRole::Allocator;
-        is_asked || (self.is_closing && self.has_tokens())
+    pub(super) fn needs_write(&self) -> bool {
+        let needs_tokens = self.is_waiting() && self.role == EscrowRole::Allocator;
+        needs_tokens || (self.is_closing && self.has_tokens())
     }
 
     /// Whether the router holds unreserved tokens, has tokens in transit, or has a ledger entry
--- a/crates/beechsaddle-core/src/gateway/peer_ring.rs
+++ b/crates/beechsaddle-core/src/gateway/peer_ring.rs
@@ -9,7 +9,7 @@
 use crate::names::{DomainName, HostName, WorkspaceName};
 
 /// How long a router that did not answer is skipped at first, in milliseconds. A request to one
-/// that is still down costs a waiting call one time-out.
+/// that is still down costs a waiting call one timeout.
 const DOWN_INITIAL_MS: u64 = 1_000;
 
 /// The longest time for which a router is skipped, in milliseconds.
--- a/crates/beechsaddle-core/src/gateway/repeat_rule.rs
+++ b/crates/beechsaddle-core/src/gateway/repeat_rule.rs
@@ -52,12 +52,12 @@
     may_have_run: bool,
 }
 
-/// Number of failed connections that are allowed for one request. Each may take a connect time-out.
+/// Number of failed connections that are allowed for one request. Each may take a connect timeout.
 const UNSENT_MAX: u32 = 4;
 
 impl AttemptHistory {
     /// Records the end of an attempt.
-    pub fn note(&mut self, end: AttemptEnd) {
+    pub fn record(&mut self, end: AttemptEnd) {
         match end.is_arrival() {
             true => self.sent += 1,
             false => self.unsent += 1,
--- a/crates/beechsaddle-core/src/gateway/rotation_gate.rs
+++ b/crates/beechsaddle-core/src/gateway/rotation_gate.rs
@@ -32,7 +32,7 @@
 
 impl RotationGate {
     /// Records whether the link is full now; returns whether the router has just left the rotation.
-    pub fn note(&mut self, now: ClockTime, is_full: bool) -> bool {
+    pub fn record(&mut self, now: ClockTime, is_full: bool) -> bool {
         if !is_full {
             self.full_since = None;
             return false;
--- a/crates/beechsaddle-core/src/gateway/target_stats.rs
+++ b/crates/beechsaddle-core/src/gateway/target_stats.rs
@@ -4,7 +4,7 @@
 use crate::clock::ClockTime;
 
 /// How long a target is ejected after a connection to it failed, in milliseconds. An attempt costs
-/// the caller one connect time-out at most, as nothing was sent.
+/// the caller one connect timeout at most, as nothing was sent.
 const EJECTION_INITIAL_MS: u64 = 700;
 
 /// The longest ejection, in milliseconds: a target that has recovered is tried within this time.
--- a/crates/beechsaddle-core/src/gateway/token_escrow.rs
+++ b/crates/beechsaddle-core/src/gateway/token_escrow.rs
@@ -133,7 +133,7 @@
     }
 
     /// Returns the workspaces that this router allocates.
-    pub fn kept(&self) -> Vec<WorkspaceName> {
+    pub fn allocated_workspaces(&self) -> Vec<WorkspaceName> {
         self.select(|account| account.role == EscrowRole::Allocator)
     }
 
@@ -141,7 +141,7 @@
     pub fn is_urgent(&self, now: ClockTime, workspace: &WorkspaceName) -> bool {
         let account = self.accounts.get(workspace);
         account
-            .is_some_and(|account| account.asks_ledger() || account.is_needed(now, &self.options))
+            .is_some_and(|account| account.needs_write() || account.is_needed(now, &self.options))
     }
 
     /// Whether calls wait for more tokens of a workspace that this router allocates than it and the
--- a/crates/beechsaddle-core/src/gateway/token_loan.rs
+++ b/crates/beechsaddle-core/src/gateway/token_loan.rs
@@ -33,7 +33,7 @@
     /// The total does not cover the smallest loan that helps.
     Exhausted,
     /// The lender has too few tokens and cannot reach the ledger to take more.
-    LedgerAway,
+    LedgerUnreachable,
 }
 
 impl LoanReply {
@@ -43,7 +43,7 @@
             LoanReply::Lent(_) => "lent",
             LoanReply::Short => "short",
             LoanReply::Exhausted => "exhausted",
-            LoanReply::LedgerAway => "ledger_away",
+            LoanReply::LedgerUnreachable => "ledger_away",
         }
     }
 
@@ -51,7 +51,7 @@
     pub fn tokens(self) -> u64 {
         match self {
             LoanReply::Lent(tokens) => tokens,
-            LoanReply::Short | LoanReply::Exhausted | LoanReply::LedgerAway => 0,
+            LoanReply::Short | LoanReply::Exhausted | LoanReply::LedgerUnreachable => 0,
         }
     }
 }
--- a/crates/beechsaddle-core/src/members/heartbeat_update.rs
+++ b/crates/beechsaddle-core/src/members/heartbeat_update.rs
@@ -6,7 +6,7 @@
 /// The parts of a heartbeat that other modules contribute.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeartbeatUpdate {
-    /// The catalogue revision in force at this router.
+    /// The catalogue revision in effect at this router.
     pub catalogue_revision: u64,
     /// The shard counts of the fleet, if known.
     pub layout: Option<FleetLayout>,
--- a/crates/beechsaddle-core/src/members/member_table.rs
+++ b/crates/beechsaddle-core/src/members/member_table.rs
@@ -27,7 +27,7 @@
     /// The state announced by the router.
     pub state: RouterState,
     pub liveness: MemberLiveness,
-    /// The catalogue revision in force at the router.
+    /// The catalogue revision in effect at the router.
     pub catalogue_revision: u64,
     /// When the last heartbeat arrived.
     pub last_seen_at: ClockTime,
--- a/crates/beechsaddle-core/src/peer.rs
+++ b/crates/beechsaddle-core/src/peer.rs
@@ -67,7 +67,7 @@
         journal: KeyText,
     },
     /// Sends a copy of the usage of the sender's own call to a backup router.
-    WitnessNote(WitnessNote),
+    WitnessNote(UsageCopy),
     /// The usage copy of an ended call is stored, or was dropped after its bill became durable.
     WitnessReply { call: CallId },
     /// Asks the committer of a dedup shard to make a record durable.
@@ -90,7 +90,7 @@
     pub sequence: u64,
     /// Whether the router takes new work.
     pub state: RouterState,
-    /// The catalogue revision in force at the router.
+    /// The catalogue revision in effect at the router.
     pub catalogue_revision: u64,
     /// The fleet's shard counts, if known; a router that starts during an outage of the platform
     /// takes them from here.
@@ -155,7 +155,7 @@
     pub domain: DomainName,
     /// The address for peers.
     pub address: String,
-    /// The catalogue revision in force at the router.
+    /// The catalogue revision in effect at the router.
     pub catalogue_revision: u64,
     /// The time since the router was last seen, in milliseconds.
     pub age_ms: u64,
@@ -201,7 +201,7 @@
 /// A copy of a call's usage, sent to a backup router by an entry router that holds the budget
 /// itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WitnessNote {
+pub struct UsageCopy {
     /// The journal with the reservation.
     pub journal: KeyText,
     /// The call's usage so far.
--- a/crates/beechsaddle-core/src/report.rs
+++ b/crates/beechsaddle-core/src/report.rs
@@ -137,7 +137,7 @@
     PeersLive,
     /// Targets of the own domain that receive new work.
     TargetsLive,
-    /// The catalogue revision in force.
+    /// The catalogue revision in effect.
     CatalogueRevision,
 }
 
--- a/crates/beechsaddle-core/src/router/router_core.rs
+++ b/crates/beechsaddle-core/src/router/router_core.rs
@@ -110,7 +110,7 @@
         self.calls.open_calls()
     }
 
-    /// The catalogue revision in force.
+    /// The catalogue revision in effect.
     pub fn catalogue_revision(&self) -> u64 {
         self.catalogue.view().revision()
     }
--- a/crates/beechsaddle-core/src/signal.rs
+++ b/crates/beechsaddle-core/src/signal.rs
@@ -24,13 +24,13 @@
     },
     /// A router of the own domain was seen for the first time.
     MemberUp(RouterIncarnation),
-    /// Heartbeats of a router of the own domain stopped; it may be dead, frozen or cut off.
+    /// Heartbeats of a router of the own domain stopped; it may be dead, frozen or partitioned.
     MemberDown(RouterIncarnation),
     /// A router is gone: it left, is not in the host list, or has a later incarnation.
     MemberGone(RouterIncarnation),
     /// The list of hosts of the own domain changed.
     HostsChanged,
-    /// A newer catalogue is in force.
+    /// A newer catalogue is in effect.
     CatalogueChanged { revision: u64 },
     /// A host of the own domain is leaving; its targets get no new work.
     HostLeaving(HostName),
--- a/crates/beechsaddle-core/src/status.rs
+++ b/crates/beechsaddle-core/src/status.rs
@@ -13,7 +13,7 @@
     pub domain: DomainName,
     /// Whether the router takes new work.
     pub state: RouterState,
-    /// The catalogue revision in force.
+    /// The catalogue revision in effect.
     pub catalogue_revision: u64,
     /// Running calls.
     pub open_calls: u64,
@@ -34,7 +34,7 @@
     pub domain: DomainName,
     /// `live`, `draining`, `down` or `gone`.
     pub state: String,
-    /// The catalogue revision in force at the router.
+    /// The catalogue revision in effect at the router.
     pub catalogue_revision: u64,
     /// The time since the router was last seen, in milliseconds.
     pub age_ms: u64,
--- a/crates/beechsaddle-core/src/targets/state_report.rs
+++ b/crates/beechsaddle-core/src/targets/state_report.rs
@@ -8,7 +8,7 @@
 /// The result of merging a received report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportMerge {
-    /// The report was new and is now in force.
+    /// The report was new and is now in effect.
     Adopted,
     /// The report matches the known state.
     Known,
--- a/crates/beechsaddle-core/src/targets/table_updates.rs
+++ b/crates/beechsaddle-core/src/targets/table_updates.rs
@@ -88,7 +88,7 @@
             .collect()
     }
 
-    /// The next targets in rotation that are not in service.
+    /// Returns, in turn, the next targets that are not in service.
     fn take_repeated(&mut self, now: ClockTime) -> Vec<TargetName> {
         let options = &self.options;
         let mut not_serving = self.names_by(|entry, _| {
--- a/crates/beechsaddle-core/tests/accounting_lost_answers.rs
+++ b/crates/beechsaddle-core/tests/accounting_lost_answers.rs
@@ -79,8 +79,8 @@
         }
         world.settle_network();
     };
-    let rest = world.account(BUDGET).free();
-    let taken = world.call(1, BUDGET, None, rest);
+    let remainder = world.account(BUDGET).free();
+    let taken = world.call(1, BUDGET, None, remainder);
     while world.calls[&taken].admitted.is_none() {
         let index = world.deliveries.iter().position(|delivery| match delivery {
             Delivery::Call { router, .. } | Delivery::Reply { router, .. } => *router == 1,
--- a/crates/beechsaddle-core/tests/catalogue_follow.rs
+++ b/crates/beechsaddle-core/tests/catalogue_follow.rs
@@ -368,7 +368,7 @@
 
 quickcheck! {
     // Whatever the order of changes and bases, with duplicates and gaps, the revision never
-    // decreases and the catalogue in force is that of its revision.
+    // decreases and the catalogue in effect is that of its revision.
     fn updates_in_any_order_never_lower_the_revision(messages: Vec<(Option<u8>, Vec<u8>)>) -> bool {
         let mut follower = Follower::new("a", &[("b", 1)]);
         let mut before = 0;
--- a/crates/beechsaddle-core/tests/catalogue_spread.rs
+++ b/crates/beechsaddle-core/tests/catalogue_spread.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Runs until the change is in force everywhere and returns the time that it took; `prepare`
+    /// Runs until the change is in effect everywhere and returns the time that it took; `prepare`
     /// runs right before the change is applied.
     fn run(&mut self, prepare: impl Fn(&mut Fleet)) -> u64 {
         for index in 0..self.routers.len() {
--- a/crates/beechsaddle-core/tests/once_explore.rs
+++ b/crates/beechsaddle-core/tests/dedup_explore.rs
@@ -3,14 +3,14 @@
 //! Each router's clock advances in independent steps, so that lagging and frozen routers are
 //! covered. Messages and platform calls arrive in any order.
 
-mod once_support;
+mod dedup_support;
 
 use std::collections::{BTreeSet, VecDeque};
 
 use beechsaddle_core::dedup::DedupOptions;
 use beechsaddle_core::hash::stable_hash;
 use beechsaddle_core::objects::PlatformObject;
-use once_support::{DedupBench, Envelope, NO_ROUTER, key};
+use dedup_support::{DedupBench, Envelope, NO_ROUTER, key};
 
 /// One clock step in milliseconds: more than `handover_ms`, and two steps are `record_timeout_ms`.
 const STEP_MS: u64 = 750;
@@ -257,7 +257,7 @@
     });
 }
 
-// The same as above with the other router.
+// A message or reply is lost, and the second router's clock takes more steps than the first one's.
 #[test]
 fn explore_loss_and_refusal_of_other() {
     explore(Bounds {
--- a/crates/beechsaddle-core/tests/once_interleavings.rs
+++ b/crates/beechsaddle-core/tests/dedup_interleavings.rs
@@ -2,10 +2,10 @@
 //!
 //! `ONCE_SEED=<seed> ONCE_TESTS=<count>` selects other sessions; the seed is printed on failure.
 
-mod once_support;
+mod dedup_support;
 
 use beechsaddle_core::dedup::DedupOptions;
-use once_support::{DedupBench, Envelope, key};
+use dedup_support::{DedupBench, Envelope, key};
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 
 /// The hosts: two domains, one of them with two routers.
--- a/crates/beechsaddle-core/tests/once_sessions.rs
+++ b/crates/beechsaddle-core/tests/dedup_sessions.rs
@@ -1,10 +1,10 @@
 //! Golden sessions of dedup records under faults. `UPDATE_GOLDEN=1` rewrites the files.
 
-mod once_support;
+mod dedup_support;
 
 use beechsaddle_core::dedup::DedupOptions;
 use beechsaddle_core::prelude::*;
-use once_support::{DedupBench, check_golden, is_write, key};
+use dedup_support::{DedupBench, check_golden, is_write, key};
 
 /// The retention of records in these sessions, in milliseconds.
 const RETENTION_MS: u64 = 20 * 60 * 1_000;
--- a/crates/beechsaddle-core/tests/once_shard.rs
+++ b/crates/beechsaddle-core/tests/dedup_shard.rs
@@ -1,11 +1,11 @@
 //! Tests of the contents and the retention of a dedup shard.
 
-mod once_support;
+mod dedup_support;
 
 use beechsaddle_core::dedup::DedupOptions;
 use beechsaddle_core::objects::PlatformObject;
 use beechsaddle_core::prelude::*;
-use once_support::{DedupBench, key};
+use dedup_support::{DedupBench, key};
 
 /// The retention of records in these sessions, in milliseconds.
 const RETENTION_MS: u64 = 20 * 60 * 1_000;
--- a/crates/beechsaddle-core/tests/once_support/mod.rs
+++ b/crates/beechsaddle-core/tests/dedup_support/mod.rs
@@ -1,4 +1,4 @@
-//! The `once_support` module provides a bench of routers with a fake store.
+//! The `dedup_support` module provides a bench of routers with a fake store.
 
 #![allow(dead_code, unused_imports)]
 
--- a/crates/beechsaddle-core/tests/gateway_changes.rs
+++ b/crates/beechsaddle-core/tests/gateway_changes.rs
@@ -47,7 +47,7 @@
     assert_eq!(log.since(12), ChangeReply::Nothing);
     log.add(20, body("b"));
     let bodies = |reply| match reply {
-        ChangeReply::News(batches) => batches.iter().map(|batch| batch.body.to_vec()).collect(),
+        ChangeReply::Changes(batches) => batches.iter().map(|batch| batch.body.to_vec()).collect(),
         ChangeReply::Nothing | ChangeReply::Gone => Vec::new(),
     };
     assert_eq!(bodies(log.since(10)), [body("a"), body("b")]);
@@ -103,7 +103,7 @@
     let mut choice = SourceSelector::default();
     let mut asked = Vec::new();
     while let ChangeSource::Router(peer) = choice.source(START, &ring) {
-        choice.record_failure(START, &peer.host, FollowFailure::Away);
+        choice.record_failure(START, &peer.host, FollowFailure::Unavailable);
         asked.push(peer.host);
     }
     assert!((3..=4).contains(&asked.len()), "{asked:?}");
@@ -115,7 +115,7 @@
 }
 
 /// Two routers in a row do not answer, which costs the time of two answers. The store is asked at
-/// once, as a third time-out would make a change take effect too late.
+/// once, as a third timeout would make a change take effect too late.
 #[test]
 fn source_store_after_two_timeouts() {
     let ring = follower_of_others();
@@ -131,11 +131,11 @@
 
 /// Routers with another list ask this one. It follows the store for them, and stops when none asks.
 #[test]
-fn record_asked_makes_a_temporary_follower() {
+fn record_request_makes_a_temporary_follower() {
     let ring = follower_of_others();
     let mut choice = SourceSelector::default();
     assert!(!choice.is_follower(START, &ring));
-    choice.record_asked(START);
+    choice.record_request(START);
     assert!(choice.is_follower(START, &ring));
     assert_eq!(choice.source(START, &ring), ChangeSource::Store);
     assert!(choice.is_follower(START.plus_ms(2_000), &ring));
@@ -378,16 +378,16 @@
             return self.follow_failed(number, host, FollowFailure::Silent);
         }
         if !asked.choice.is_follower(now, &asked.ring) {
-            asked.choice.record_asked(now);
-            return self.follow_failed(number, host, FollowFailure::Beginning);
+            asked.choice.record_request(now);
+            return self.follow_failed(number, host, FollowFailure::Starting);
         }
         if asked.is_cut {
-            return self.follow_failed(number, host, FollowFailure::Away);
+            return self.follow_failed(number, host, FollowFailure::Unavailable);
         }
         match asked.log.since(known) {
             ChangeReply::Nothing => {}
             ChangeReply::Gone => self.follow_store(number),
-            ChangeReply::News(batches) => {
+            ChangeReply::Changes(batches) => {
                 for batch in batches {
                     self.take(number, ObjectChange::decode(&batch.body));
                 }
--- a/crates/beechsaddle-core/tests/gateway_link.rs
+++ b/crates/beechsaddle-core/tests/gateway_link.rs
@@ -43,7 +43,7 @@
         self.queued_bytes += (BODY_BYTES + 1_500) as f64;
         self.meter
             .record_message(now, LinkDirection::In, BODY_BYTES);
-        if self.gate.note(now, self.meter.is_full(now)) {
+        if self.gate.record(now, self.meter.is_full(now)) {
             self.changed_at = now;
         }
         self.queued_bytes / LINK_BYTES_PER_MS
@@ -97,7 +97,7 @@
         for call in 0..calls_a_second * 20 {
             let now = START.plus_ms(call * 1_000 / calls_a_second);
             meter.record_message(now, LinkDirection::In, body_bytes);
-            assert!(!gate.note(now, meter.is_full(now)), "{mbps:?} {call}");
+            assert!(!gate.record(now, meter.is_full(now)), "{mbps:?} {call}");
         }
     }
 }
@@ -110,7 +110,7 @@
     let mut spans = Vec::new();
     let mut now = START;
     for _ in 0..4 {
-        while !gate.note(now, true) {
+        while !gate.record(now, true) {
             now = now.plus_ms(100);
         }
         let left_at = now;
@@ -118,11 +118,11 @@
             now = now.plus_ms(100);
         }
         spans.push(now.since(left_at));
-        gate.note(now, false);
+        gate.record(now, false);
     }
     assert!(spans.is_sorted() && spans[1] >= 2 * spans[0], "{spans:?}");
     now = now.plus_ms(70_000);
-    while !gate.note(now, true) {
+    while !gate.record(now, true) {
         now = now.plus_ms(100);
     }
     let left_at = now;
--- a/crates/beechsaddle-core/tests/gateway_permit_issuer.rs
+++ b/crates/beechsaddle-core/tests/gateway_permit_issuer.rs
@@ -169,7 +169,7 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut model = LimitModel::new(24, per_s);
         let mut issuers = vec![PermitIssuer::default(), PermitIssuer::default()];
-        // Each router learns of the new one at a time of its own.
+        // Each router learns of the new issuer at a different time.
         let learned_at: Vec<u64> = (0..24)
             .map(|_| random.random_range(20_000..26_000))
             .collect();
--- a/crates/beechsaddle-core/tests/gateway_repeats.rs
+++ b/crates/beechsaddle-core/tests/gateway_repeats.rs
@@ -12,7 +12,7 @@
 
 fn history(ends: &[AttemptEnd]) -> AttemptHistory {
     let mut history = AttemptHistory::default();
-    ends.iter().for_each(|end| history.note(*end));
+    ends.iter().for_each(|end| history.record(*end));
     history
 }
 
--- a/crates/beechsaddle-core/tests/orders_plan.rs
+++ b/crates/beechsaddle-core/tests/orders_plan.rs
@@ -1,6 +1,6 @@
 //! Tests of the assignment of models to targets.
 
-mod once_support;
+mod dedup_support;
 mod orders_support;
 
 use std::collections::BTreeSet;
--- a/crates/beechsaddle-core/tests/orders_sessions.rs
+++ b/crates/beechsaddle-core/tests/orders_sessions.rs
@@ -1,12 +1,12 @@
 //! Golden sessions of orders to engines under faults. `UPDATE_GOLDEN=1` rewrites the files.
 
-mod once_support;
+mod dedup_support;
 mod orders_support;
 
 use beechsaddle_core::members::MemberLiveness;
 use beechsaddle_core::orders::OrderOptions;
 use beechsaddle_core::target::OrderOutcome;
-use once_support::check_golden;
+use dedup_support::check_golden;
 use orders_support::{Envelope, OrderBench, model, state};
 
 /// Creates two routers and one engine; returns the picked router's index, then the other's.
@@ -57,8 +57,9 @@
     check_golden("orders_frozen_engine_checks", &bench.transcript);
 }
 
-// The same with an engine that ignores the number: the old order takes effect. The router in charge
-// must repeat its own order until the engine reports the declared version.
+// A frozen router resumes and sends its old order to an engine that ignores the fencing number, so
+// the order takes effect. The router in charge must repeat its own order until the engine reports
+// the declared version.
 #[test]
 fn order_frozen_issuer_engine_ignores() {
     let (mut bench, picked, other) = one_engine(false);
@@ -107,7 +108,7 @@
     assert_eq!(bench.orders(), 1);
 }
 
-// Two routers are cut off from each other, and both act as the router in charge. Each must claim a
+// Two routers are partitioned, and both act as the router in charge. Each must claim a
 // number and order the same state only once.
 #[test]
 fn order_two_issuers() {
--- a/crates/beechsaddle-core/tests/orders_support/order_bench.rs
+++ b/crates/beechsaddle-core/tests/orders_support/order_bench.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use super::{Envelope, FakeEngine, SERVICE, state};
-use crate::once_support::FakeStore;
+use crate::dedup_support::FakeStore;
 
 /// The interval of ticks in milliseconds.
 const TICK_MS: u64 = 50;
--- a/crates/beechsaddle-lab/src/measure/peer_samples.rs
+++ b/crates/beechsaddle-lab/src/measure/peer_samples.rs
@@ -6,7 +6,7 @@
 use beechsaddle_core::objects::FleetLayout;
 use beechsaddle_core::peer::{
     AdmitRequest, LimitUse, PeerHeartbeat, PeerMessage, RecordRequest, RouterState, SettleRequest,
-    TargetUpdate, WitnessNote,
+    TargetUpdate, UsageCopy,
 };
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::target::{EngineRole, EngineState, LoadReport};
@@ -141,7 +141,7 @@
         ),
         (
             "witness_note",
-            PeerMessage::WitnessNote(WitnessNote {
+            PeerMessage::WitnessNote(UsageCopy {
                 journal: "graz-nord-entry-002@1700000000000".into(),
                 settle: settle_request(number),
                 ended: true,
--- a/crates/beechsaddle-wire/src/peer/admission_codec.rs
+++ b/crates/beechsaddle-wire/src/peer/admission_codec.rs
@@ -1,9 +1,7 @@
 //! The `admission_codec` module provides the encoding of messages about calls and budgets.
 
 use beechsaddle_core::names::{CallId, KeyText};
-use beechsaddle_core::peer::{
-    AdmitRequest, CallProgress, RecordRequest, SettleRequest, WitnessNote,
-};
+use beechsaddle_core::peer::{AdmitRequest, CallProgress, RecordRequest, SettleRequest, UsageCopy};
 
 use super::identity_codec::{read_call, read_key, write_call, write_key};
 use super::limits::CALLS_MAX;
@@ -121,7 +119,7 @@
 
 /// Encodes the usage of a call for its backup router.
 pub(super) fn write_usage_copy(
-    copy: &WitnessNote,
+    copy: &UsageCopy,
     mut builder: peer_capnp::witness_note::Builder<'_>,
 ) -> Result<()> {
     builder.set_journal(check_name(copy.journal.as_str())?);
@@ -130,8 +128,8 @@
 }
 
 /// Decodes the usage of a call for its backup router.
-pub(super) fn read_usage_copy(reader: peer_capnp::witness_note::Reader<'_>) -> Result<WitnessNote> {
-    Ok(WitnessNote {
+pub(super) fn read_usage_copy(reader: peer_capnp::witness_note::Reader<'_>) -> Result<UsageCopy> {
+    Ok(UsageCopy {
         journal: read_name(reader.get_journal()?)?.into(),
         settle: read_settle(reader.get_settle()?)?,
         ended: reader.get_ended(),
--- a/crates/beechsaddle-wire/tests/common/mod.rs
+++ b/crates/beechsaddle-wire/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use beechsaddle_core::objects::FleetLayout;
 use beechsaddle_core::peer::{
     AdmitRequest, CallProgress, LimitUse, PeerHeartbeat, PeerMessage, RecordRequest, RouterState,
-    RouterUpdate, SettleRequest, TargetUpdate, WitnessNote,
+    RouterUpdate, SettleRequest, TargetUpdate, UsageCopy,
 };
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::target::{EngineRole, EngineState, LoadReport};
@@ -63,7 +63,7 @@
         8 => PeerMessage::BillsDurable {
             calls: any_list(gen_, any_call),
         },
-        9 => PeerMessage::WitnessNote(WitnessNote {
+        9 => PeerMessage::WitnessNote(UsageCopy {
             journal: any_name(gen_).as_str().into(),
             settle: any_settle(gen_),
             ended: bool::arbitrary(gen_),
--- a/crates/beechsaddle/src/calls/buffered_answer.rs
+++ b/crates/beechsaddle/src/calls/buffered_answer.rs
@@ -34,8 +34,8 @@
 ///
 /// # Errors
 ///
-/// `ConnectionLost` if it breaks off, `TimedOut` if nothing arrives for `idle`, and `BadAnswer` if
-/// it is too long.
+/// `ConnectionLost` if it is truncated, `TimedOut` if nothing arrives for `idle`, and `BadAnswer`
+/// if it is too long.
 pub(crate) async fn read_buffered(
     mut body: Body,
     limit: usize,
--- a/crates/beechsaddle/src/calls/call_guard.rs
+++ b/crates/beechsaddle/src/calls/call_guard.rs
@@ -12,9 +12,9 @@
 enum GuardState {
     /// Nothing: the core does not know the call, or has been sent its end.
     Settled,
-    /// That the caller disconnected.
+    /// The disconnect of the caller.
     Waiting,
-    /// That the running attempt was cancelled.
+    /// The cancellation of the running attempt.
     Attempting(AttemptId),
 }
 
@@ -68,7 +68,7 @@
         self.stage = GuardState::Settled;
     }
 
-    /// Records the usage so far, for an answer that breaks off.
+    /// Records the usage so far, for an answer that is truncated.
     pub(crate) fn record_usage(&mut self, usage: TokenUsage) {
         self.usage = usage;
     }
--- a/crates/beechsaddle/src/calls/call_head.rs
+++ b/crates/beechsaddle/src/calls/call_head.rs
@@ -15,7 +15,7 @@
 
 /// Maximum length of an `Idempotency-Key` in bytes.
 const MAX_KEY_BYTES: usize = 128;
-/// Maximum time-out that a caller may set, in milliseconds: one day.
+/// Maximum timeout that a caller may set, in milliseconds: one day.
 const MAX_TIMEOUT_MS: u64 = 86_400_000;
 
 /// Headers that may occur only once, since two values would be ambiguous.
--- a/crates/beechsaddle/src/calls/calls_options.rs
+++ b/crates/beechsaddle/src/calls/calls_options.rs
@@ -41,7 +41,7 @@
     /// Maximum size in bytes of an answer that is buffered before it is relayed.
     pub answer_bytes: usize,
     /// Answers of plain services up to this many bytes are buffered before they are relayed, so
-    /// that the call can still be retried if the answer breaks off.
+    /// that the call can still be retried if the answer is truncated.
     pub plain_whole_bytes: usize,
     /// Time limit for a probe or an order, in milliseconds.
     pub probe_timeout_ms: u64,
--- a/crates/beechsaddle/src/calls/chat_request.rs
+++ b/crates/beechsaddle/src/calls/chat_request.rs
@@ -47,7 +47,7 @@
     pub(crate) output_bound: Option<u64>,
     /// Upper bound of the prompt's tokens.
     pub(crate) input_bound: u64,
-    /// Estimate of the prompt's tokens, for answers that break off before the engine reports the
+    /// Estimate of the prompt's tokens, for answers truncated before the engine reports the
     /// usage.
     pub(crate) input_estimate: u64,
     /// Hashes of the prompt's leading blocks.
--- a/crates/beechsaddle/src/calls/header_filter.rs
+++ b/crates/beechsaddle/src/calls/header_filter.rs
@@ -18,7 +18,7 @@
 pub(crate) const BUDGET_HEADER: HeaderName = HeaderName::from_static("beechsaddle-budget");
 /// Whether a call may be repeated.
 pub(crate) const REPEATABLE_HEADER: HeaderName = HeaderName::from_static("beechsaddle-repeatable");
-/// The caller's time-out in milliseconds.
+/// The caller's timeout in milliseconds.
 pub(crate) const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("beechsaddle-timeout-ms");
 
 /// Prefix of all headers that this system defines between callers, router and targets.
--- a/crates/beechsaddle/src/calls/ready_answer.rs
+++ b/crates/beechsaddle/src/calls/ready_answer.rs
@@ -30,7 +30,7 @@
 
 /// A target's answer that may be relayed to the caller.
 pub(crate) enum ReadyAnswer {
-    /// Completely received, so it cannot break off any more.
+    /// Completely received, so it cannot be truncated any more.
     Buffered {
         head: AnswerHead,
         body: Bytes,
--- a/crates/beechsaddle/src/calls/request_body.rs
+++ b/crates/beechsaddle/src/calls/request_body.rs
@@ -31,7 +31,7 @@
     /// # Errors
     ///
     /// `body_too_large`, `body_timeout`, `overloaded` if the memory for bodies is used up, and
-    /// `bad_request` if the body breaks off.
+    /// `bad_request` if the body is truncated.
     pub(crate) async fn try_read(body: Body, state: &EdgeState) -> Result<Self, CallFault> {
         let limit = state.options.body_bytes;
         let claimed = body.size_hint().lower();
--- a/crates/beechsaddle/src/findings/table_reader.rs
+++ b/crates/beechsaddle/src/findings/table_reader.rs
@@ -25,7 +25,7 @@
 }
 
 impl<'a> TableReader<'a> {
-    /// Creates a reader of `table`. Findings call it `path`, which is empty for the whole file.
+    /// Creates a reader of `table`. Findings refer to it as `path`, empty for the whole file.
     pub fn new(
         source: &'a SourceText,
         path: impl Into<String>,
--- a/crates/beechsaddle/src/gateway/call_context.rs
+++ b/crates/beechsaddle/src/gateway/call_context.rs
@@ -83,7 +83,7 @@
 
     /// Records an attempt that ended without a usable response.
     pub(super) fn record_attempt_end(&self, target: &TargetRecord, end: AttemptEnd, detail: &str) {
-        self.history.borrow_mut().note(end);
+        self.history.borrow_mut().record(end);
         self.tried.borrow_mut().push(target.name.clone());
         let fields = [
             ("target", target.name.to_string()),
--- a/crates/beechsaddle/src/gateway/changes/change_apply.rs
+++ b/crates/beechsaddle/src/gateway/changes/change_apply.rs
@@ -60,7 +60,7 @@
                 state.log_roster_changes(change);
             }
         }
-        // A removed configuration stays in force, as there is nothing newer.
+        // A removed configuration stays in effect, as there is nothing newer.
         (ObjectKind::Config, true)
         | (ObjectKind::Routers | ObjectKind::Budgets | ObjectKind::Crashes, _) => {}
     }
--- a/crates/beechsaddle/src/gateway/changes/follow_call.rs
+++ b/crates/beechsaddle/src/gateway/changes/follow_call.rs
@@ -19,13 +19,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::gateway) enum FollowReply {
     /// Changes, oldest first; empty if nothing changed.
-    News(Vec<ChangeBatch>),
+    Changes(Vec<ChangeBatch>),
     /// Changes after that revision are no longer held, or are too large to be relayed.
     Gone,
     /// The follower cannot reach the store, or its state may be stale.
-    Away,
+    Unavailable,
     /// The router was following another one, and now starts to follow the store.
-    Beginning,
+    Starting,
 }
 
 /// A follower's answer.
@@ -66,7 +66,7 @@
         Err(_) => return record_silence(state, peer, "no answer to the follow request in time"),
     };
     match answer.reply {
-        FollowReply::News(batches) => {
+        FollowReply::Changes(batches) => {
             state.record_relayed_answer(answer.age_ms);
             count(state, "news");
             read_batches(state, peer, &batches, answer.revision)
@@ -75,12 +75,12 @@
             count(state, "gone");
             FollowStep::Gone
         }
-        FollowReply::Away => {
+        FollowReply::Unavailable => {
             // This router may still reach the store, which it asks next.
             state.store_health.record_outage(state.now());
-            record_failure(state, peer, FollowFailure::Away)
+            record_failure(state, peer, FollowFailure::Unavailable)
         }
-        FollowReply::Beginning => record_failure(state, peer, FollowFailure::Beginning),
+        FollowReply::Starting => record_failure(state, peer, FollowFailure::Starting),
     }
 }
 
--- a/crates/beechsaddle/src/gateway/changes/relay_server.rs
+++ b/crates/beechsaddle/src/gateway/changes/relay_server.rs
@@ -60,19 +60,19 @@
     let now = state.now();
     let mut choice = state.relay.choice.borrow_mut();
     if !choice.is_follower(now, &state.lending.ring.borrow()) {
-        choice.record_asked(now);
-        return Some(FollowReply::Beginning);
+        choice.record_request(now);
+        return Some(FollowReply::Starting);
     }
     if is_stale(state) || !state.store_health.answers() {
-        return Some(FollowReply::Away);
+        return Some(FollowReply::Unavailable);
     }
     drop(choice);
     if !state.relay.is_watched(kind) {
         return None;
     }
     match state.relay.since(kind, revision) {
-        ChangeReply::News(batches) if size_of(&batches) > MAX_BYTES => Some(FollowReply::Gone),
-        ChangeReply::News(batches) => Some(FollowReply::News(batches)),
+        ChangeReply::Changes(batches) if size_of(&batches) > MAX_BYTES => Some(FollowReply::Gone),
+        ChangeReply::Changes(batches) => Some(FollowReply::Changes(batches)),
         ChangeReply::Gone => Some(FollowReply::Gone),
         ChangeReply::Nothing => None,
     }
@@ -81,11 +81,11 @@
 /// Returns the reply when this router knows of nothing newer. It may not watch the kind yet.
 fn unchanged_reply(state: &GatewayState, kind: ObjectKind) -> FollowReply {
     if state.relay.is_watched(kind) {
-        return FollowReply::News(Vec::new());
+        return FollowReply::Changes(Vec::new());
     }
     let mut choice = state.relay.choice.borrow_mut();
-    choice.record_asked(state.now());
-    FollowReply::Beginning
+    choice.record_request(state.now());
+    FollowReply::Starting
 }
 
 /// Returns whether the known state may be stale because the store has not answered for a while.
--- a/crates/beechsaddle/src/gateway/changes/store_follow.rs
+++ b/crates/beechsaddle/src/gateway/changes/store_follow.rs
@@ -147,7 +147,7 @@
         },
         Err(failure) => {
             // Probes show when another try is worthwhile.
-            state.store_health.note(!failure.is_unavailable());
+            state.store_health.record(!failure.is_unavailable());
             sleep(FALLBACK_PAUSE).await;
             return revision;
         }
--- a/crates/beechsaddle/src/gateway/changes/store_probe.rs
+++ b/crates/beechsaddle/src/gateway/changes/store_probe.rs
@@ -63,7 +63,7 @@
     }
 
     /// Returns whether the store has answered for a while. Just after a general outage, a router
-    /// that cannot reach the store yet is only a moment behind this one, and not cut off.
+    /// that cannot reach the store yet is only a moment behind this one, and not partitioned.
     pub(in crate::gateway) fn is_steady(&self, now: ClockTime) -> bool {
         let last_outage_at = self.last_outage_at.get();
         let had_outage = last_outage_at.is_some_and(|at| now.since(at) < STEADY_MS);
@@ -107,7 +107,7 @@
 
     /// Records whether a probe or another call was answered; returns whether the store has just
     /// recovered.
-    pub(in crate::gateway) fn note(&self, answers: bool) -> bool {
+    pub(in crate::gateway) fn record(&self, answers: bool) -> bool {
         let previous = self.answers.send_replace(answers);
         if answers {
             self.answered.notify_waiters();
@@ -124,7 +124,7 @@
             continue;
         }
         let answers = probe(&state).await;
-        state.store_health.note(answers);
+        state.store_health.record(answers);
         let interval = match answers {
             true => probe_interval(&state),
             false => probe_interval(&state).min(Duration::from_millis(OUTAGE_PROBE_INTERVAL_MS)),
--- a/crates/beechsaddle/src/gateway/clock_manager.rs
+++ b/crates/beechsaddle/src/gateway/clock_manager.rs
@@ -85,7 +85,7 @@
         let routers = state.lending.ring.borrow().router_count();
         state.clocks.clock.borrow_mut().set_routers(routers);
         let has_secret = !state.lending.secret().is_empty();
-        let allocates_any = !state.escrow.borrow().kept().is_empty();
+        let allocates_any = !state.escrow.borrow().allocated_workspaces().is_empty();
         if has_secret && allocates_any {
             let due = state.clocks.due(&state);
             let requested = stream::iter(due).map(|peer| request_clock(&state, peer));
--- a/crates/beechsaddle/src/gateway/gateway_metrics.rs
+++ b/crates/beechsaddle/src/gateway/gateway_metrics.rs
@@ -86,7 +86,7 @@
     /// Log lines dropped by sampling under load.
     pub(super) lines_sampled_out: Counter,
     pub(super) open_calls: Gauge,
-    /// The version of the configuration in force.
+    /// The version of the configuration in effect.
     pub(super) config_version: Gauge,
     /// Seconds to the first event or the whole answer.
     pub(super) first_s: Histogram,
--- a/crates/beechsaddle/src/gateway/gateway_settings.rs
+++ b/crates/beechsaddle/src/gateway/gateway_settings.rs
@@ -31,7 +31,7 @@
 const WATCH_MAX_MS: u64 = 10_000;
 
 /// Default interval between store probes, in milliseconds. A lost connection is detected within this
-/// interval plus a call timeout, which is before new configurations have to be in force again after it is
+/// interval plus a call timeout, which is before new configurations have to be in effect again after it is
 /// restored.
 const DEFAULT_PROBE_MS: u64 = 1_000;
 
@@ -190,7 +190,7 @@
 struct StoreBounds {
     /// How long after a silence of the store no bound applies.
     settle_ms: f64,
-    /// The time within which a change has to be in force.
+    /// The time within which a change has to be in effect.
     propagation_ms: f64,
 }
 
@@ -216,7 +216,7 @@
 ///
 /// A store that is silent for less than the probe interval loses its watches, and the router only detects
 /// that when their wait and a call timeout are over. The platform's bounds do not apply for `settle_ms`
-/// after such a silence, and a change after that has to be in force within `in_force_ms`: the wait ends
+/// after such a silence, and a change after that has to be in effect within `in_force_ms`: the wait ends
 /// before both are over. Watches are half of a large fleet's store calls, so longer ones are worthwhile.
 fn default_watch_ms(bounds: Option<StoreBounds>, call_ms: u64) -> u64 {
     let Some(bounds) = bounds else {
--- a/crates/beechsaddle/src/gateway/gateway_state.rs
+++ b/crates/beechsaddle/src/gateway/gateway_state.rs
@@ -48,9 +48,9 @@
     pub(super) clock: ClockSource,
     /// The clock readings of other routers.
     pub(super) clocks: ClockManager,
-    /// The configuration in force; `None` before the first.
+    /// The configuration in effect; `None` before the first.
     pub(super) config: RefCell<Option<Rc<GatewayConfig>>>,
-    /// Since when the configuration is in force.
+    /// Since when the configuration is in effect.
     pub(super) config_at: Cell<ClockTime>,
     pub(super) roster: RefCell<TargetRoster>,
     pub(super) escrow: RefCell<TokenEscrow>,
@@ -151,7 +151,7 @@
         Rc::clone(&self.settings.borrow())
     }
 
-    /// Returns the configuration in force.
+    /// Returns the configuration in effect.
     pub(super) fn config(&self) -> Option<Rc<GatewayConfig>> {
         self.config.borrow().clone()
     }
@@ -190,7 +190,7 @@
         let now = self.now();
         let load = self.link.borrow().load(now);
         let mut rotation = self.rotation.borrow_mut();
-        if rotation.note(now, self.is_link_full()) {
+        if rotation.record(now, self.is_link_full()) {
             let fields = [("link_load", format!("{load:.2}"))];
             self.report.log(LogLevel::Warning, "link_full", fields);
         }
@@ -282,7 +282,7 @@
     /// Records that the store answered.
     pub(super) fn record_store_answer(&self) {
         self.store_answered_at.set(self.now());
-        if self.store_health.note(true) {
+        if self.store_health.record(true) {
             // Allocators can get tokens again, so calls need not be refused until the pause ends.
             self.lending.pauses.borrow_mut().clear();
         }
--- a/crates/beechsaddle/src/gateway/ledger_sync.rs
+++ b/crates/beechsaddle/src/gateway/ledger_sync.rs
@@ -110,7 +110,7 @@
         let unread = self.state.escrow.borrow().unread();
         self.for_each_parallel(unread, |workspace| self.load(workspace))
             .await;
-        let allocated = self.state.escrow.borrow().kept();
+        let allocated = self.state.escrow.borrow().allocated_workspaces();
         allocated
             .iter()
             .for_each(|workspace| self.apply_update(workspace));
@@ -165,7 +165,7 @@
     fn stale(&self) -> Vec<WorkspaceName> {
         let now = self.state.now();
         let escrow = self.state.escrow.borrow();
-        let (scarce, allocated) = (escrow.scarce(), escrow.kept());
+        let (scarce, allocated) = (escrow.scarce(), escrow.allocated_workspaces());
         let cached_ledgers = self.cached_ledgers.borrow();
         let stale = cached_ledgers.iter().filter(|(workspace, cached)| {
             let age_ms = now.since(cached.seen_at);
--- a/crates/beechsaddle/src/gateway/peer_link.rs
+++ b/crates/beechsaddle/src/gateway/peer_link.rs
@@ -132,7 +132,7 @@
             Ok(LoanOutcome::Lent) => LoanReply::Lent(answer.get_tokens()),
             Ok(LoanOutcome::Short) => LoanReply::Short,
             Ok(LoanOutcome::Exhausted) => LoanReply::Exhausted,
-            Ok(LoanOutcome::LedgerAway) => LoanReply::LedgerAway,
+            Ok(LoanOutcome::LedgerAway) => LoanReply::LedgerUnreachable,
             Err(error) => return Err(error.to_string()),
         };
         let taken = decode_taken(answer.get_taken());
@@ -211,11 +211,11 @@
         let reply = match answer.get_outcome() {
             Ok(FollowOutcome::News) => {
                 let batches = answer.get_batches().map_err(|error| error.to_string())?;
-                FollowReply::News(read_batches(batches, answer.get_revision())?)
+                FollowReply::Changes(read_batches(batches, answer.get_revision())?)
             }
             Ok(FollowOutcome::Gone) => FollowReply::Gone,
-            Ok(FollowOutcome::Away) => FollowReply::Away,
-            Ok(FollowOutcome::Beginning) => FollowReply::Beginning,
+            Ok(FollowOutcome::Away) => FollowReply::Unavailable,
+            Ok(FollowOutcome::Beginning) => FollowReply::Starting,
             Err(error) => return Err(error.to_string()),
         };
         Ok(FollowAnswer {
--- a/crates/beechsaddle/src/gateway/peer_server.rs
+++ b/crates/beechsaddle/src/gateway/peer_server.rs
@@ -118,7 +118,7 @@
             LoanReply::Lent(_) => LoanOutcome::Lent,
             LoanReply::Short => LoanOutcome::Short,
             LoanReply::Exhausted => LoanOutcome::Exhausted,
-            LoanReply::LedgerAway => LoanOutcome::LedgerAway,
+            LoanReply::LedgerUnreachable => LoanOutcome::LedgerAway,
         };
         self.state.metrics.tokens_lent.inc_by(tokens);
         let fields = [
@@ -206,7 +206,7 @@
         response.set_revision(answer.revision);
         response.set_age_ms(answer.age_ms);
         match answer.reply {
-            FollowReply::News(batches) => {
+            FollowReply::Changes(batches) => {
                 response.set_outcome(FollowOutcome::News);
                 let mut bodies = response.init_batches(batches.len() as u32);
                 for (index, batch) in batches.iter().enumerate() {
@@ -214,8 +214,8 @@
                 }
             }
             FollowReply::Gone => response.set_outcome(FollowOutcome::Gone),
-            FollowReply::Away => response.set_outcome(FollowOutcome::Away),
-            FollowReply::Beginning => response.set_outcome(FollowOutcome::Beginning),
+            FollowReply::Unavailable => response.set_outcome(FollowOutcome::Away),
+            FollowReply::Starting => response.set_outcome(FollowOutcome::Beginning),
         }
         Ok(())
     }
--- a/crates/beechsaddle/src/gateway/plain_exchange.rs
+++ b/crates/beechsaddle/src/gateway/plain_exchange.rs
@@ -159,7 +159,7 @@
 fn wait_limit(call: &CallContext, target: &TargetRecord) -> Duration {
     let left = call.remaining();
     let mut after = call.history.borrow().clone();
-    after.note(AttemptEnd::Silent);
+    after.record(AttemptEnd::Silent);
     if !after.allows_another(call.route.kind, call.route.attempts_max) {
         return left;
     }
--- a/crates/beechsaddle/src/gateway/settings_watch.rs
+++ b/crates/beechsaddle/src/gateway/settings_watch.rs
@@ -59,7 +59,7 @@
                 .report
                 .log(LogLevel::Info, "settings_reloaded", fields);
         }
-        // The settings in force remain.
+        // The settings in effect remain.
         Err(findings) => log_unreadable(state, &findings.to_string()),
     }
 }
--- a/crates/beechsaddle/src/gateway/stream_relay.rs
+++ b/crates/beechsaddle/src/gateway/stream_relay.rs
@@ -94,7 +94,7 @@
             return false;
         };
         let mut after = call.history.borrow().clone();
-        after.note(AttemptEnd::Silent);
+        after.record(AttemptEnd::Silent);
         let may_retry = after.allows_another(call.route.kind, call.route.attempts_max);
         let silent_ms = call.state.now().since(self.last_data_at);
         may_retry && silent_ms >= limit_ms && guard.silence_ms() >= limit_ms
--- a/crates/beechsaddle/src/gateway/token_borrow.rs
+++ b/crates/beechsaddle/src/gateway/token_borrow.rs
@@ -263,9 +263,9 @@
             Ok(())
         }
         LoanReply::Short => Err(LoanFailure::Short),
-        LoanReply::LedgerAway => Err(LoanFailure::LedgerUnreachable),
+        LoanReply::LedgerUnreachable => Err(LoanFailure::LedgerUnreachable),
     };
-    if answer.reply != LoanReply::LedgerAway {
+    if answer.reply != LoanReply::LedgerUnreachable {
         let mut ring = state.lending.ring.borrow_mut();
         ring.mark_ledger_reachable(&peer.host);
     }
--- a/crates/beechsaddle/src/gateway/token_lender.rs
+++ b/crates/beechsaddle/src/gateway/token_lender.rs
@@ -38,7 +38,7 @@
         }
         let is_unreachable = state.is_ledger_unreachable.get();
         if (is_unreachable && is_foreign) || state.lending.was_refused(now, workspace) {
-            return LoanReply::LedgerAway;
+            return LoanReply::LedgerUnreachable;
         }
         if is_foreign && !is_covered(state, workspace, request.least) {
             return LoanReply::Short;
@@ -51,7 +51,7 @@
         }
         if timeout_at(until, changed).await.is_err() {
             return match state.is_ledger_unreachable.get() {
-                true => LoanReply::LedgerAway,
+                true => LoanReply::LedgerUnreachable,
                 false => LoanReply::Short,
             };
         }
--- a/crates/beechsaddle/src/peers/peers_options.rs
+++ b/crates/beechsaddle/src/peers/peers_options.rs
@@ -4,7 +4,7 @@
 
 use super::PeerAuth;
 
-/// Limits and time-outs of the edge between routers.
+/// Limits and timeouts of the edge between routers.
 ///
 /// The limits of a queue bound the memory used by peers that do not answer: with 30 peers, all of
 /// them frozen, 30 times `queue_bytes` and `in_flight_bytes`, about 10 MB.
--- a/crates/beechsaddle/src/router/clock_source.rs
+++ b/crates/beechsaddle/src/router/clock_source.rs
@@ -9,7 +9,7 @@
 /// Time in milliseconds since the Unix epoch, never backwards.
 ///
 /// The host's wall clock may be stepped. It is read once; from then on the monotonic clock counts,
-/// so time-outs neither fire early nor hang when the wall clock is stepped.
+/// so timeouts neither fire early nor hang when the wall clock is stepped.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockSource {
     started: Instant,
--- a/crates/beechsaddle/src/router/core_loop.rs
+++ b/crates/beechsaddle/src/router/core_loop.rs
@@ -83,7 +83,7 @@
         Ok(self.edges)
     }
 
-    /// Returns the next event: a due tick first, so that a flood of events cannot delay time-outs,
+    /// Returns the next event: a due tick first, so that a flood of events cannot delay timeouts,
     /// then control, the platform and peers, whose events end calls, and last the calls edge.
     fn next_event(&mut self, sources: &EventSources) -> Result<CoreEvent> {
         if let Some(event) = self.refused.pop_front() {
--- a/crates/beechsaddle/src/settings/router_settings.rs
+++ b/crates/beechsaddle/src/settings/router_settings.rs
@@ -53,7 +53,7 @@
         load_settings(path, read_settings)
     }
 
-    /// Reads settings from a text, which findings call `file`.
+    /// Reads settings from text; findings refer to it as `file`.
     pub fn try_parse(
         file: impl AsRef<str>,
         text: impl AsRef<str>,
--- a/crates/beechsaddle/tests/calls_limits.rs
+++ b/crates/beechsaddle/tests/calls_limits.rs
@@ -54,7 +54,7 @@
 fn head_dripping() {
     // A caller sends its head byte by byte without end, to occupy a connection. The time limit runs
     // from the first byte of the head, so slow sending does not extend it, and it is far shorter
-    // than the time-out of idle connections.
+    // than the timeout of idle connections.
     let options = CallsOptions {
         head_timeout_ms: 200,
         idle_timeout_ms: 60_000,
--- a/crates/beechsaddle/tests/gateway_logs.rs
+++ b/crates/beechsaddle/tests/gateway_logs.rs
@@ -27,8 +27,8 @@
         tokio::time::sleep(std::time::Duration::from_millis(700)).await;
     }
     let line = bench.router.wait_log(&["event=call ", "complaint-5"]).await;
-    for word in ["workspace=acme", "tokens=50020", "outcome=budget_exhausted"] {
-        assert!(line.contains(word), "no {word} in {line}");
+    for field in ["workspace=acme", "tokens=50020", "outcome=budget_exhausted"] {
+        assert!(line.contains(field), "no {field} in {line}");
     }
     let line = bench
         .router
@@ -48,8 +48,8 @@
     }
     bench.router.call(&stream_request("complaint", 100)).await;
     let line = bench.router.wait_log(&["event=call ", "complaint"]).await;
-    for word in ["outcome=broken_off", "events=4", "target=engine-", "why="] {
-        assert!(line.contains(word), "no {word} in {line}");
+    for field in ["outcome=broken_off", "events=4", "target=engine-", "why="] {
+        assert!(line.contains(field), "no {field} in {line}");
     }
     let ends = bench
         .router
@@ -93,13 +93,13 @@
     for (line, event) in lines.iter().zip(events) {
         assert!(line.contains(&format!("event={event}")), "{line}");
     }
-    for (line, word) in [
+    for (line, field) in [
         (0, "config=3"),
         (1, "ledger_age_ms="),
         (2, "store_age_ms="),
         (3, "added_ms="),
     ] {
-        assert!(lines[line].contains(word), "no {word} in {}", lines[line]);
+        assert!(lines[line].contains(field), "no {field} in {}", lines[line]);
     }
 }
 
@@ -183,7 +183,7 @@
         .expect("the command");
     assert!(output.status.success(), "{output:?}");
     let text = String::from_utf8(output.stdout).expect("text");
-    for word in [
+    for field in [
         "gateway host-1@",
         "phase=serving",
         "config version=7 age_ms=",
@@ -192,7 +192,7 @@
         "target engine-1 service=engine phase=ready active=0 ejected_for_ms=0",
         "heard_age_ms=",
     ] {
-        assert!(text.contains(word), "no {word} in {text}");
+        assert!(text.contains(field), "no {field} in {text}");
     }
 }
 
--- a/crates/beechsaddle/tests/gateway_relay.rs
+++ b/crates/beechsaddle/tests/gateway_relay.rs
@@ -16,7 +16,7 @@
 /// Routers of the domain: enough that two follow the store and the others follow these.
 const ROUTERS: usize = 7;
 
-/// Time within which a new configuration must be in force at every router.
+/// Time within which a new configuration must be in effect at every router.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(4);
 
 struct RelayFleet {
--- a/crates/beechsaddle/tests/gateway_settings.rs
+++ b/crates/beechsaddle/tests/gateway_settings.rs
@@ -49,14 +49,14 @@
                 ready_address = \"10.0.0.1:1\"\ncall_adress = 1\n[store]\n[retries]\nratio = true\n";
     let findings = GatewaySettings::try_parse("bad.toml", text).expect_err("findings");
     let text = findings.to_string();
-    for place in [
+    for position in [
         "bad.toml:2:",
         "bad.toml:4:",
         "bad.toml:6:",
         "bad.toml:9:",
         "store.address",
     ] {
-        assert!(text.contains(place), "no {place} in {text}");
+        assert!(text.contains(position), "no {position} in {text}");
     }
 }
 
@@ -88,8 +88,8 @@
     let text = format!("{start}hold_s = -1\nlost_part = 1.5\nlost = 0.1\n");
     let findings = GatewaySettings::try_parse("b.toml", text).expect_err("findings");
     let text = findings.to_string();
-    for place in ["b.toml:9:", "b.toml:10:", "b.toml:11:"] {
-        assert!(text.contains(place), "no {place} in {text}");
+    for position in ["b.toml:9:", "b.toml:10:", "b.toml:11:"] {
+        assert!(text.contains(position), "no {position} in {text}");
     }
     let text = format!("{start}hold_s = 4\n");
     let settings = GatewaySettings::try_parse("b.toml", text).expect("settings");
@@ -98,7 +98,7 @@
 }
 
 /// Watches wait as long as the platform's bounds allow: a watch that the store has lost has to end, and be
-/// followed by a listing, before a later change has to be in force. Without the bounds they wait 2 s.
+/// followed by a listing, before a later change has to be in effect. Without the bounds they wait 2 s.
 #[test]
 fn watch_wait_follows_the_bounds() {
     let watch_ms = |store: &str| {
--- a/crates/beechsaddle/tests/gateway_store.rs
+++ b/crates/beechsaddle/tests/gateway_store.rs
@@ -35,7 +35,7 @@
 }
 
 /// The store returns an older version after a newer one, and then one that cannot be decoded. The newest
-/// valid version stays in force, and the invalid one is logged.
+/// valid version stays in effect, and the invalid one is logged.
 #[tokio::test]
 async fn older_and_unreadable_configs_change_nothing() {
     let bench = GatewayBench::start(&draft(5, AMPLE)).await;
@@ -90,7 +90,7 @@
 
 /// The store becomes silent while a watch waits, receives a new version, and never answers the watch, not
 /// even after the outage. The failed probe makes the router list again without waiting for the end of its
-/// long watch: the version is in force within two seconds of the end of the outage.
+/// long watch: the version is in effect within two seconds of the end of the outage.
 #[tokio::test]
 async fn watch_lost_in_an_outage_is_restarted() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -107,7 +107,7 @@
 }
 
 /// The store is silent for a moment between two probes, receives a new version, and loses the waiting
-/// watch. No probe fails. The version is still in force within three seconds, since a watch waits for at
+/// watch. No probe fails. The version is still in effect within three seconds, since a watch waits for at
 /// most two.
 #[tokio::test]
 async fn watch_lost_between_probes_is_restarted() {
@@ -201,7 +201,7 @@
 }
 
 /// A watch of the configuration waits while the store refuses all new calls and probes. The waiting watch
-/// is still answered: the new version is in force at once, and not only when the store accepts new calls
+/// is still answered: the new version is in effect at once, and not only when the store accepts new calls
 /// again.
 #[tokio::test]
 async fn pending_watch_delivers_changes_while_new_calls_fail() {
--- a/crates/beechsaddle/tests/peers_exchange.rs
+++ b/crates/beechsaddle/tests/peers_exchange.rs
@@ -9,7 +9,7 @@
 use beechsaddle_core::members::HostState;
 use beechsaddle_core::peer::{
     AdmitRequest, CallProgress, LimitUse, PeerMessage, RecordRequest, RouterUpdate, SettleRequest,
-    TargetUpdate, WitnessNote,
+    TargetUpdate, UsageCopy,
 };
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::target::{EngineRole, EngineState, LoadReport};
@@ -150,7 +150,7 @@
         PeerMessage::BillsDurable {
             calls: vec![call(1), call(2)],
         },
-        PeerMessage::WitnessNote(WitnessNote {
+        PeerMessage::WitnessNote(UsageCopy {
             journal: "host-b@7".into(),
             settle: settle(),
             ended: true,
