--- a/crates/beechsaddle-core/tests/gateway_losses.rs
+++ b/crates/beechsaddle-core/tests/gateway_losses.rs
@@ -229,7 +229,7 @@
 /// loss. Of the 10 s of demand lost here most are lost the first time, as no losses are known
 /// before it.
 #[test]
-fn allocators_lost_four_times_with_little_to_spare() {
+fn keepers_lost_four_times_with_little_to_spare() {
     let mut fleet = LossyFleet::new(DEMAND * 92 * 23 / 20);
     for second in [8, 36, 64, 92] {
         fleet.run_until(second);
