--- a/crates/beechsaddle-core/src/accounting/accounting_options.rs
+++ b/crates/beechsaddle-core/src/accounting/accounting_options.rs
@@ -40,7 +40,7 @@
     pub resend_ms: u64,
     /// Retention of a caller-chosen key after its bill.
     pub dedup_window_ms: u64,
-    /// Maximum number of reruns of a key that was answered.
+    /// Maximum number of further runs under a key after its first complete answer.
     pub max_reruns: u32,
     /// Time between two audit reads of ledger shards for grants whose routers no live router knows.
     /// Each router reads the shards that it is picked for in turn, so that the cost grows only with
--- a/crates/beechsaddle-core/src/accounting/budget_holding.rs
+++ b/crates/beechsaddle-core/src/accounting/budget_holding.rs
@@ -84,7 +84,7 @@
     }
 
     /// Returns the spending limit: the lowest of the grant, the durable mark and a mark that is
-    /// being written, so that spending never passes a mark that may not be durable.
+    /// being written, so that spending stays within whichever mark turns out to be durable.
     pub(super) fn limit(&self) -> u64 {
         self.mark
             .min(self.mark_sent.unwrap_or(self.mark))
@@ -242,7 +242,8 @@
             && checkpoint > self.named_in
     }
 
-    /// Applies the state of the ledger. While a write is unresolved, the amount only decreases.
+    /// Applies the state of the ledger. While a write is unresolved, the granted amount only
+    /// decreases.
     pub(super) fn apply_account(
         &mut self,
         now: ClockTime,
--- a/crates/beechsaddle-core/src/accounting/budget_ledger.rs
+++ b/crates/beechsaddle-core/src/accounting/budget_ledger.rs
@@ -73,6 +73,11 @@
 
     /// Checks that no account has allocated more than was paid in. Every writer calls this before a
     /// write.
+    ///
+    /// Spending then stays within what was paid: a router reserves tokens for a call only within
+    /// its grant and its durable mark, and bills the call at most that reservation. A grant counts
+    /// as allocated from the write that makes it; if its router is lost, the part up to the mark
+    /// stays allocated as written off.
     pub fn check_invariant(&self) -> Result<()> {
         for (budget, account) in &self.budgets {
             if account.allocated() > account.paid() {
--- a/crates/beechsaddle-core/src/accounting/grant_audit.rs
+++ b/crates/beechsaddle-core/src/accounting/grant_audit.rs
@@ -76,7 +76,8 @@
         context.now.since(since) >= list_lag_ms
     }
 
-    /// Drops unlisted journals that a shard lists as closed.
+    /// Stops tracking journals of routers on unlisted hosts once a ledger shard records them as
+    /// closed.
     pub(super) fn prune_closed(&mut self, ledger: &BudgetLedger) {
         let accounts = ledger.budgets.values();
         let closed = accounts.flat_map(|account| account.closed.keys());
--- a/crates/beechsaddle-core/src/accounting/grant_sizing.rs
+++ b/crates/beechsaddle-core/src/accounting/grant_sizing.rs
@@ -1,7 +1,7 @@
 //! The `grant_sizing` module provides the sizes of a grant and of its mark.
 //!
-//! Both are pure functions of the holder's view. The grant size limits calls to the platform, the
-//! mark limits the write-off at a death: only tokens below the mark are lost with their holder.
+//! Both sizes are pure functions of the holder's view. The grant size limits calls to the platform,
+//! the mark limits the write-off at a death: only tokens below the mark are lost with their holder.
 
 use super::accounting_options::AccountingOptions;
 
--- a/crates/beechsaddle-core/src/accounting/lookup_table.rs
+++ b/crates/beechsaddle-core/src/accounting/lookup_table.rs
@@ -7,12 +7,13 @@
 use crate::names::{BudgetName, WorkspaceName};
 use crate::refusal::{CallRefusal, RefusalReason};
 
-/// Maximum number of such names per workspace. It exceeds the 26 budgets that a workspace has on
-/// average at the largest planned size, so that all of them can be used at once after a start.
+/// Maximum number of names of one workspace in the table. It exceeds the 26 budgets that a
+/// workspace has on average at the largest planned size, so that all of them can be used at once
+/// after a start.
 const MAX_WORKSPACE_NAMES: usize = 32;
 
-/// Maximum number of such names in total. At 64 bytes per name and as much again for its map
-/// entries, this is half a megabyte.
+/// Maximum number of names of all workspaces in the table. At 64 bytes per name and as much again
+/// for its map entries, this is half a megabyte.
 const MAX_NAMES: usize = 4_096;
 
 /// Maximum number of budgets of a workspace that are announced in the journal before they are
@@ -49,7 +50,8 @@
 /// The order in which an unknown budget is looked up and announced in the journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LookupOrder {
-    /// Announced at once, which saves the first call a round trip to the platform.
+    /// The journal announces the budget before it is looked up, which saves the first call a round
+    /// trip to the platform.
     AnnounceFirst,
     /// Looked up first, so that an invented name never enters the journal.
     LookUpFirst,
--- a/crates/beechsaddle-core/src/admission/retry_policy.rs
+++ b/crates/beechsaddle-core/src/admission/retry_policy.rs
@@ -79,7 +79,8 @@
             return RetryDecision::Abort;
         }
         if !attempt.repeatable && (attempt.may_have_run || !attempt.failure.is_not_run()) {
-            // The call may have been executed, and executing it again could pay out twice.
+            // The call may have been executed, and executing it again could repeat its side
+            // effects, such as a payout.
             return self.refuse(RefusalReason::OutcomeUnknown, attempt, None);
         }
         if attempt
--- a/crates/beechsaddle-core/src/gateway/budget_ledger.rs
+++ b/crates/beechsaddle-core/src/gateway/budget_ledger.rs
@@ -14,8 +14,12 @@
 /// Tokens that routers took from a workspace's prepaid total, less the tokens that they returned.
 ///
 /// A router spends only tokens that it took here by a conditional write, so total spending stays
-/// within the prepaid total even when routers are partitioned, paused or killed. Tokens held by a
-/// killed router are lost to the workspace, except those that it had deferred
+/// within the prepaid total even when routers are partitioned, paused or killed. A change takes at
+/// most the tokens left of the total and succeeds only on the revision that it is based on, so no
+/// token is taken twice; a router deducts tokens before it returns or lends them, so no two routers
+/// hold the same token.
+///
+/// Tokens held by a killed router are lost to the workspace, except those that it had deferred
 /// ([`DeferredReserve`]). Each workspace has its own ledger object, so that only its few allocators
 /// contend for it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,7 +55,8 @@
 ///
 /// The next process on the same host returns them if it certainly started before that time. A
 /// process that is paused does not break the rule, as it only uses the tokens later. Other
-/// processes need to know nothing but the time itself, by the clocks of a majority of the fleet.
+/// processes need to know nothing but the time itself, by the clocks of a majority of the fleet: if
+/// half of the hosts or more have wrong clocks, used tokens may be returned and spent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeferredReserve {
     pub tokens: u64,
@@ -104,9 +109,10 @@
     /// Returns the ledger after a change by `router`.
     ///
     /// A host runs one process at a time, so entries of other incarnations on the same host belong
-    /// to processes that have ended. Their idle tokens are lost, as they would have written a
-    /// smaller count after returning any. Tokens that they had certainly not used are recovered;
-    /// their entries stay while that is still to be determined.
+    /// to processes that have ended. The idle tokens in their entries count as lost: had a process
+    /// returned any, its last entry would show fewer. Tokens that it had certainly not used are
+    /// recovered instead. An entry with deferred tokens stays until it is known whether they were
+    /// used.
     pub fn with_change(&self, router: &str, change: LedgerChange) -> Self {
         let taken = self.taken_after(change.transfer);
         let own = WriterMark {
--- a/crates/beechsaddle-core/src/gateway/change_source.rs
+++ b/crates/beechsaddle-core/src/gateway/change_source.rs
@@ -13,8 +13,8 @@
 use crate::clock::ClockTime;
 use crate::names::HostName;
 
-/// Number of routers of a domain that follow the store. If one fails, the others continue with the
-/// second one, without requests to the store of their own.
+/// Number of routers of a domain that follow the store. If one fails, the routers that followed it
+/// use the second one, without requests to the store of their own.
 const FOLLOWER_COUNT: usize = 2;
 
 /// Number of routers that are asked in turn before the store is. Where the regular followers cannot
--- a/crates/beechsaddle-core/src/gateway/crash_suspect.rs
+++ b/crates/beechsaddle-core/src/gateway/crash_suspect.rs
@@ -47,7 +47,8 @@
         true
     }
 
-    /// Records that the request ran to completion; returns the crashes of which that clears it.
+    /// Records that the request ran to completion; returns the crashes that it is no longer
+    /// suspected of.
     pub(super) fn clear(&mut self) -> Vec<(TargetIncarnation, CrashFacts)> {
         let mut cleared = Vec::new();
         for (target, facts) in &mut self.crashes {
--- a/crates/beechsaddle-core/src/gateway/deferred_change.rs
+++ b/crates/beechsaddle-core/src/gateway/deferred_change.rs
@@ -14,7 +14,8 @@
     pub(super) change: LedgerChange,
     /// When the change was planned.
     planned_at: ClockTime,
-    /// The part of the returned tokens that was deferred.
+    /// The part of the returned tokens that was deferred, which becomes deferred again if the
+    /// change is reverted.
     from_deferred: u64,
     /// The tokens that were usable before and that the change defers.
     locked: u64,
--- a/crates/beechsaddle-core/src/gateway/demand_peak.rs
+++ b/crates/beechsaddle-core/src/gateway/demand_peak.rs
@@ -20,7 +20,8 @@
         }
     }
 
-    /// Records a request. A smaller one replaces the largest once that is two half-lives old.
+    /// Records a request. A smaller one replaces the largest once the largest is two half-lives
+    /// old.
     pub(super) fn record(&mut self, now: ClockTime, tokens: u64) {
         let is_old = now.since(self.recorded_at) > 2 * self.half_life_ms;
         if is_old || tokens > self.tokens {
--- a/crates/beechsaddle-core/src/gateway/escrow_account.rs
+++ b/crates/beechsaddle-core/src/gateway/escrow_account.rs
@@ -51,8 +51,8 @@
     pub(super) demand: DemandRate,
     /// Whether little is left of the total.
     pub(super) is_scarce: bool,
-    /// Use by calls of a borrower that the allocator has not been sent yet, in tokens. An allocator
-    /// records its own demand and sends none.
+    /// Tokens used by a borrower's calls that were not reported to the allocator yet. An allocator
+    /// records its own demand and reports none.
     pub(super) unreported_use: i64,
     /// Tokens taken by all routers, as last read from the ledger or sent by the allocator.
     known_taken: Option<u64>,
@@ -163,7 +163,8 @@
         is_changed
     }
 
-    /// Adds use by calls of a borrower; a negative amount is use that the allocator was sent.
+    /// Adds tokens used by a borrower's calls; a negative amount stands for use that was reported
+    /// to the allocator.
     pub(super) fn add_unreported_use(&mut self, tokens: i64) {
         if self.role == EscrowRole::Borrower {
             self.unreported_use += tokens;
--- a/crates/beechsaddle-core/src/gateway/escrow_options.rs
+++ b/crates/beechsaddle-core/src/gateway/escrow_options.rs
@@ -39,8 +39,8 @@
     /// The amount that an allocator holds before demand is known, as a multiple of an equal part.
     /// It serves the first callers while the ledger is unreachable.
     pub first_part: f64,
-    /// The used part of the prepaid total from which demand counts as known, so that an allocator
-    /// holds only what its domain's callers use. Up to that, `first_part` decreases linearly.
+    /// Once this part of the prepaid total is used, demand counts as known, and an allocator holds
+    /// only what its domain's callers use. Until then, `first_part` decreases linearly to 0.
     pub known_part: f64,
     /// The part of the prepaid total below which routers hold less and read the ledger more often.
     pub scarce_part: f64,
@@ -50,15 +50,15 @@
     /// The part of the prepaid total that allocators may leave idle with all routers of the fleet,
     /// because returning each router's share is not worth a write.
     pub slack_part: f64,
-    /// The same when little is left, and for the tokens of borrowers. No more of a total than this
-    /// is unavailable to callers because it is split into small remainders.
+    /// Replaces `slack_part` when little is left, and for the tokens of borrowers. No more of a
+    /// total than this is unavailable to callers because it is split into small remainders.
     pub slack_scarce: f64,
     /// The multiple of the wanted amount from which a surplus is returned. The surplus of a burst
     /// that stays at a router is lost with it, and one returned too soon is requested again by the
     /// next calls.
     pub give_back_at: f64,
-    /// How long a request must not have fitted before it is refused for good, in milliseconds.
-    /// Until then other routers may return enough.
+    /// Time after which a request that the remaining tokens do not cover is refused for good, in
+    /// milliseconds. Until then other routers may return enough.
     pub give_back_ms: u64,
 }
 
--- a/crates/beechsaddle-core/src/gateway/link_meter.rs
+++ b/crates/beechsaddle-core/src/gateway/link_meter.rs
@@ -3,8 +3,8 @@
 use super::DemandRate;
 use crate::clock::ClockTime;
 
-/// Half-life of the byte rate, in milliseconds: a second of pressure shows, a single prompt does
-/// not.
+/// Half-life of the byte rate, in milliseconds: a second of high load shows in the rate, a single
+/// prompt does not.
 const HALF_LIFE_MS: u64 = 1_000;
 
 /// The load from which the link counts as full. Incoming traffic can never exceed the capacity of
--- a/crates/beechsaddle-core/src/gateway/peer_ring.rs
+++ b/crates/beechsaddle-core/src/gateway/peer_ring.rs
@@ -108,7 +108,8 @@
         self.coordinator_of(now, workspace.as_str())
     }
 
-    /// Returns the router of the own domain that owns a name; `None` if it is this one.
+    /// Returns the router of the own domain that coordinates what a name stands for, such as a
+    /// request's crash reports; `None` if it is this one.
     pub fn coordinator_of(&self, now: ClockTime, name: &str) -> Option<&PeerRecord> {
         let own = rendezvous_weight(name, self.me.as_str());
         let others = self.peers.values().filter(|peer| {
@@ -124,8 +125,7 @@
             .map(|(_, peer)| peer)
     }
 
-    /// Returns the router of the own domain that coordinates the object of a name, such as a
-    /// request's crash reports; `None` if it is this one.
+    /// Returns the routers that probably allocate a workspace in other domains, one per domain.
     pub fn foreign_allocators(
         &self,
         now: ClockTime,
@@ -134,7 +134,8 @@
         self.foreign_coordinators_of(now, workspace.as_str())
     }
 
-    /// Returns the routers that probably own a name in other domains, one for each.
+    /// Returns the routers that probably coordinate what a name stands for in other domains, one
+    /// per domain.
     pub fn foreign_coordinators_of(&self, now: ClockTime, name: &str) -> Vec<&PeerRecord> {
         let mut coordinators = BTreeMap::<&DomainName, (u64, &PeerRecord)>::new();
         for peer in self.peers.values() {
@@ -150,8 +151,9 @@
         coordinators.into_values().map(|(_, peer)| peer).collect()
     }
 
-    /// Returns the routers that probably coordinate the object of a name in other domains, one for
-    /// each.
+    /// Returns the `count` routers of the own domain that follow the store for the others, in the
+    /// order in which this router asks them; empty if this router is one of them or the domain has
+    /// fewer than `least` routers.
     pub fn followers(&self, now: ClockTime, count: usize, least: usize) -> Vec<&PeerRecord> {
         let own = self
             .peers
@@ -173,7 +175,8 @@
         if followers.iter().any(|peer| peer.host == self.me) {
             return Vec::new();
         }
-        // Each follower is the first choice of its share of the other routers.
+        // Routers try the followers in different orders, so that each follower serves a part of
+        // them.
         let spread = |peer: &&PeerRecord| rendezvous_weight(self.me.as_str(), peer.host.as_str());
         followers.sort_by_key(spread);
         followers
@@ -186,8 +189,9 @@
         down.extend(now);
     }
 
-    /// Records that a router answers but cannot reach the ledgers while this one can. For this
-    /// router, others allocate its workspaces for a time that doubles with each failure.
+    /// Records that a router answers but cannot reach the ledgers while this one can. For a time
+    /// that doubles with each failure, this router treats other routers as the allocators of that
+    /// router's workspaces.
     pub fn mark_ledger_unreachable(&mut self, now: ClockTime, host: &HostName) {
         let ledger_unreachable = self.ledger_unreachable.entry(host.clone()).or_default();
         ledger_unreachable.extend(now);
--- a/crates/beechsaddle-core/src/gateway/permit_issuer.rs
+++ b/crates/beechsaddle-core/src/gateway/permit_issuer.rs
@@ -40,7 +40,7 @@
 pub enum IssuerRank {
     /// The router comes first in the order of all routers.
     First,
-    /// A router that comes before this one does not answer.
+    /// Another router comes first but does not answer, so this one issues permits in its place.
     Substitute,
 }
 
--- a/crates/beechsaddle-core/src/gateway/target_chooser.rs
+++ b/crates/beechsaddle-core/src/gateway/target_chooser.rs
@@ -301,7 +301,7 @@
 }
 
 /// The two engines that come first in the order of a prompt's shared part: its affinity target, and
-/// the engine that replaces it if the first is missing.
+/// the engine that replaces it if it is missing.
 struct PartAffinity<'a> {
     first: Option<&'a RosterEntry>,
     second: Option<&'a RosterEntry>,
--- a/crates/beechsaddle-core/src/gateway/target_stats.rs
+++ b/crates/beechsaddle-core/src/gateway/target_stats.rs
@@ -67,7 +67,8 @@
         self.pending_tokens += load.prefill_tokens;
     }
 
-    /// Records an attempt's first event or complete answer, `waited_ms` later than expected.
+    /// Records an attempt's first event or complete answer, which came `waited_ms` later than
+    /// expected.
     pub fn record_first(&mut self, now: ClockTime, load: AttemptLoad, waited_ms: u64) {
         self.pending_tokens = self.pending_tokens.saturating_sub(load.prefill_tokens);
         let known = match now.since(self.speed_at) < SAMPLE_LIFE_MS && self.speed_ms > 0.0 {
--- a/crates/beechsaddle-core/src/gateway/transfer_plan.rs
+++ b/crates/beechsaddle-core/src/gateway/transfer_plan.rs
@@ -44,7 +44,7 @@
     ///
     /// Amounts that are small for the whole fleet stay, as unused parts of reservations are not
     /// worth a write. A borrower returns tokens sooner, as it passes them to the allocator of its
-    /// domain without one.
+    /// domain without a write.
     fn held_max(&self, now: ClockTime, wanted: u64, options: &EscrowOptions) -> u64 {
         let usual = (wanted as f64 * options.give_back_at) as u64;
         if self.is_closing {
--- a/crates/beechsaddle-core/src/targets/table_updates.rs
+++ b/crates/beechsaddle-core/src/targets/table_updates.rs
@@ -128,9 +128,9 @@
         let is_probed_live = self.probe.observed_state(now, options) == Some(HostState::Live);
         match self.agreed.merge(received) {
             ReportMerge::Adopted if update.state == HostState::Down && is_probed_live => {
-                // The peer cannot reach a target that this router reaches. Each acts on its own
-                // probes; the other routers receive the state seen by the router that got an
-                // answer.
+                // The peer cannot reach a target that this router reaches. Each of the two acts on
+                // its own probes; the other routers receive the state seen by the router that got
+                // an answer.
                 self.agreed.observe(HostState::Live);
                 self.announce_urgently();
             }
--- a/crates/beechsaddle-core/tests/accounting_world/session_steps.rs
+++ b/crates/beechsaddle-core/tests/accounting_world/session_steps.rs
@@ -1,4 +1,5 @@
-//! The `session_steps` module provides steps shared by the golden sessions.
+//! The `session_steps` module provides steps shared by the tests of accounting sessions, most of
+//! which compare a session with a golden file.
 
 use beechsaddle_core::accounting::{AccountingOptions, BudgetAccount};
 use beechsaddle_core::members::MemberLiveness;
--- a/crates/beechsaddle-core/tests/admission_limits.rs
+++ b/crates/beechsaddle-core/tests/admission_limits.rs
@@ -166,9 +166,9 @@
 
 #[test]
 fn admit_concurrency_demand_shifts() {
-    // One router runs nearly all of an entry's 40 calls, five seconds each, when the demand moves
-    // to another router. The first share falls at once, but running calls are not cancelled, and
-    // the second router must not use the part still in use.
+    // One router runs nearly all of the 40 concurrent calls that a workspace allows, five seconds
+    // each, when the demand moves to another router. The first router's share falls at once, but
+    // running calls are not cancelled, and the second router must not use the part still in use.
     let limits = EntryLimits {
         concurrency: Some(40),
         ..NO_LIMITS
--- a/crates/beechsaddle-core/tests/dedup_explore.rs
+++ b/crates/beechsaddle-core/tests/dedup_explore.rs
@@ -29,7 +29,8 @@
     forgets: bool,
 }
 
-/// A bench, its fault counts, and digests of its larger parts.
+/// A state of the exploration: a bench and the faults so far. Digests of the larger parts make
+/// states that were seen before cheap to recognise.
 #[derive(Clone)]
 struct World {
     bench: DedupBench,
@@ -232,8 +233,8 @@
     println!("explored worlds={} {bounds:?}", seen.len());
 }
 
-// Guards against a double dispatch, and a dispatch of a refused call. Both routers take a call with
-// the same key; one reply or message is lost and one router is killed at any moment, while each may
+// No key is dispatched twice, and no refused call is dispatched. Both routers take a call with the
+// same key; one reply or message is lost and one router is killed at any moment, while each may
 // take over from the other. Every call of a live router must get an outcome.
 #[test]
 fn explore_loss_and_crash() {
@@ -245,8 +246,8 @@
     });
 }
 
-// Guards against a key that stays taken. One reply or message is lost, and the first router refuses
-// its call while its messages are still in flight. The key must become free if no router ran it.
+// One reply or message is lost, and the first router refuses its call while its messages are still
+// in flight. The key must become free if no router ran its call.
 #[test]
 fn explore_loss_and_refusal() {
     explore(Bounds {
@@ -257,7 +258,8 @@
     });
 }
 
-// A message or reply is lost, and the second router's clock takes more steps than the first one's.
+// As above, but the second router refuses its call, as its clock takes the two steps to the
+// time-out.
 #[test]
 fn explore_loss_and_refusal_of_other() {
     explore(Bounds {
@@ -268,8 +270,8 @@
     });
 }
 
-// Guards against a key that stays taken after the first router found no target for its call,
-// whichever message or reply is lost.
+// The first router finds no target for its call. The key must become free, whichever message or
+// reply is lost.
 #[test]
 fn explore_loss_and_forget() {
     explore(Bounds {
--- a/crates/beechsaddle-core/tests/gateway_crash_registry.rs
+++ b/crates/beechsaddle-core/tests/gateway_crash_registry.rs
@@ -55,7 +55,7 @@
     matches!(verdict, CrashVerdict::Blocked { .. })
 }
 
-/// Guards against a request that continues to crash targets after the third.
+/// The third crash blocks a request, so that it does not go on to crash targets.
 #[test]
 fn verdict_third_crash_blocks() {
     let mut registry = registry([report(1, 1, 0), report(1, 2, 1)]);
@@ -65,7 +65,7 @@
     assert_eq!(registry.verdict(NOW, request(2)), CrashVerdict::Clear);
 }
 
-/// Guards against one crash that counts several times because its report arrives on several paths.
+/// A crash counts once, although its report arrives on several paths.
 #[test]
 fn verdict_duplicate_crash_reports_count_once() {
     let registry = registry([1, 1, 2, 2, 1, 2].map(|number| report(1, number, 1)));
@@ -73,14 +73,15 @@
     assert_eq!(registry.verdict(NOW, request(1)), CrashVerdict::Suspected);
 }
 
-/// Guards against a popular request that is refused because many targets were killed at once.
+/// A popular request is not refused because many targets that ran it were killed at once.
 #[test]
 fn verdict_simultaneous_crashes_block_no_request() {
     let registry = registry((1..=6).map(|number| report(1, number, 0)));
     assert_eq!(registry.verdict(NOW, request(1)), CrashVerdict::OnTrial);
 }
 
-/// Guards against a retry from one of many killed targets to the next that counts as a repeat.
+/// Many targets are killed at once, and a request is retried from one to the next. Such recent
+/// crashes are not settled yet, so the retry does not count as a repeat.
 #[test]
 fn settled_count_excludes_recent_crashes() {
     let registry = registry([report(1, 1, 0), report(1, 2, 0)]);
@@ -89,7 +90,7 @@
     assert_eq!(registry.crash_count(request(1)), 2);
 }
 
-/// Guards against a request that is refused for crashes caused by another one beside it.
+/// A request is not refused for crashes that another request beside it caused.
 #[test]
 fn verdict_request_beside_the_cause_is_clear() {
     let cause = (1..=4).map(|number| report(1, number, number as u32 - 1));
@@ -100,8 +101,8 @@
     assert_eq!(registry.crash_count(request(2)), 0);
 }
 
-/// Guards against two refused requests when one of them explains all crashes, and against a wrong
-/// verdict that is never corrected.
+/// Of two requests that crash together, only one is refused if it explains all crashes. If it was
+/// the wrong one, the next crash of the other corrects the verdict.
 #[test]
 fn verdict_wrong_suspect_is_corrected_by_next_crash() {
     let both = (1..=3).flat_map(|number| {
@@ -119,8 +120,7 @@
     assert!(!is_blocked(&registry, 2));
 }
 
-/// Guards against a request that stays refused although it ran to completion, and against late
-/// reports that undo this.
+/// A request that ran to completion is no longer refused, and late reports do not undo this.
 #[test]
 fn verdict_completed_request_stays_clear() {
     let crashes: Vec<_> = (1..=3).map(|number| report(1, number, 1)).collect();
@@ -139,8 +139,8 @@
     assert_eq!(other.verdict(NOW, request(1)), CrashVerdict::Clear);
 }
 
-/// Guards against a request that is refused for ever, and against one that may crash three more
-/// targets after each refusal.
+/// A refusal ends, but after one more crash the request is refused again, and for longer. Otherwise
+/// the request could crash three more targets after each refusal.
 #[test]
 fn verdict_crash_after_block_expiry_blocks_longer() {
     let mut registry = registry((1..=3).map(|number| report(1, number, 1)));
@@ -165,7 +165,7 @@
     assert!(registry.is_empty());
 }
 
-/// Guards against routers that reach different verdicts from the same reports in another order.
+/// Routers reach the same verdicts from the same reports, in any order and with duplicates.
 #[test]
 fn record_order_does_not_change_verdicts() {
     for seed in 0..300 {
@@ -191,8 +191,7 @@
     }
 }
 
-/// Guards against a flood of different requests that evicts the refused ones, or exhausts the
-/// memory.
+/// A flood of different requests neither evicts the refused ones nor exhausts the memory.
 #[test]
 fn record_flood_retains_blocked_requests() {
     let mut registry = registry((1..=3).map(|number| report(0, number, 1)));
@@ -204,7 +203,7 @@
     assert!(retained.count() < 600);
 }
 
-/// Guards against requests with equal fingerprints.
+/// Requests that differ in path, caller or body have different fingerprints.
 #[test]
 fn fingerprint_distinguishes_path_caller_and_body() {
     let parts = [
--- a/crates/beechsaddle-core/tests/gateway_deferred.rs
+++ b/crates/beechsaddle-core/tests/gateway_deferred.rs
@@ -462,7 +462,8 @@
     (host.frozen_until_ms <= now_ms).then_some(ClockReading::of(steady, wall))
 }
 
-/// Tokens lost, tokens recovered, and the part of the latter that calls could have used before.
+/// Tokens held by processes when they ended, tokens recovered by their successors, and the part of
+/// the recovered tokens that the ended processes could have used.
 #[derive(Clone, Copy, Debug, Default)]
 struct SessionTotals {
     lost: u64,
@@ -488,8 +489,7 @@
     count.and_then(|count| count.parse().ok()).unwrap_or(300)
 }
 
-/// Guards against tokens that are returned to the ledger after a loss although calls have used
-/// them.
+/// After a loss, only tokens that no call has used are returned to the ledger.
 #[test]
 fn deferred_sessions_return_only_unused_tokens() {
     let totals = run_sessions(0..seed_count(), WrongClocks::Fewer);
@@ -497,15 +497,15 @@
     assert!(totals.recovered > 0, "{totals:?}");
 }
 
-/// Shows the assumption of the design: if all clocks are wrong at once, more is recovered than was
-/// unused.
+/// The design assumes that fewer than half of the hosts have wrong clocks: if all clocks are wrong
+/// at once, more is recovered than was unused.
 #[test]
 fn deferred_sessions_overspend_if_all_clocks_are_wrong() {
     let totals = run_sessions(0..seed_count(), WrongClocks::All);
     assert!(totals.overspent > 0, "{totals:?}");
 }
 
-/// Guards against deferred tokens that are used while a write that names them may still be applied.
+/// Deferred tokens stay unused while a write that names them may still be applied.
 #[test]
 fn withdraw_after_unanswered_write_keeps_the_change() {
     let now = ClockTime::from_millis(START_MS);
--- a/crates/beechsaddle-core/tests/gateway_fleet_clock.rs
+++ b/crates/beechsaddle-core/tests/gateway_fleet_clock.rs
@@ -21,7 +21,7 @@
     HostName::new(format!("host-{number}"))
 }
 
-/// Guards against a bound from half of the fleet or fewer.
+/// The clocks of half of the fleet or fewer give no bound.
 #[test]
 fn bounds_need_majority_of_the_fleet() {
     let mut clock = clock(6);
@@ -41,7 +41,7 @@
     );
 }
 
-/// Guards against a fleet of one or two routers that trusts a single clock.
+/// A fleet of one or two routers has no bounds, as it would have to trust a single clock.
 #[test]
 fn bounds_of_a_small_fleet_are_unknown() {
     let mut clock = clock(2);
@@ -54,7 +54,7 @@
     );
 }
 
-/// Guards against a fleet that is not listed yet, of which any few clocks would be a majority.
+/// Before the routers are listed, a few clocks must not count as a majority of the fleet.
 #[test]
 fn bounds_before_the_routers_are_listed_are_unknown() {
     let mut clock = FleetClock::new(START);
@@ -62,8 +62,8 @@
     assert_eq!(clock.bounds(START).earliest, None);
 }
 
-/// Guards against a start that appears late because the clocks were read late, and against one that
-/// appears early because an answer took long.
+/// A process start must not appear late because the clocks were read late, nor early because an
+/// answer took long.
 #[test]
 fn bounds_started_counts_from_request_time() {
     let mut clock = clock(3);
@@ -77,7 +77,7 @@
     assert_eq!(bounds.earliest, Some(ClockTime::from_millis(6_700)));
 }
 
-/// Guards against readings so old that the clock may have been stepped since.
+/// Expired readings are not used, as the clock may have been stepped since.
 #[test]
 fn bounds_exclude_expired_readings() {
     let mut clock = clock(3);
@@ -87,8 +87,8 @@
     assert_eq!(clock.bounds(later).earliest, None);
 }
 
-/// Guards against a time that is ahead while all wall clocks are, and back again before the next
-/// process starts.
+/// A reading spans the wall clock and the steady clock: all wall clocks may be ahead for a while,
+/// and back again before the next process starts.
 #[test]
 fn reading_of_a_stepped_wall_clock_bounds_both() {
     let (steady, wall) = (ClockTime::from_millis(5_000), ClockTime::from_millis(7_400));
--- a/crates/beechsaddle-core/tests/gateway_limited_choice.rs
+++ b/crates/beechsaddle-core/tests/gateway_limited_choice.rs
@@ -4,8 +4,8 @@
 
 use choice_support::{NAMES, START, choose, chosen, roster, stats};
 
-/// Guards against a target short of capacity that stays the affinity target of parts which many
-/// requests share.
+/// A target with a limit is short of capacity, and must not stay the affinity target of parts that
+/// many requests share.
 #[test]
 fn limited_target_has_no_affinity() {
     for shared in ["a", "b", "c", "d"] {
@@ -31,7 +31,8 @@
     );
 }
 
-/// Guards against a target that receives more than its limit because no other is left.
+/// A target that is paused for its limit is not chosen, even if no other is left: it would receive
+/// more than its limit.
 #[test]
 fn paused_target_is_never_chosen() {
     let mut roster = roster();
--- a/crates/beechsaddle-core/tests/gateway_losses.rs
+++ b/crates/beechsaddle-core/tests/gateway_losses.rs
@@ -18,7 +18,8 @@
 const CALL_TOKENS: u64 = 1_000;
 /// The demand of callers, in tokens per second.
 const DEMAND: u64 = CALL_TOKENS * 1_000 / CALL_SPAN_MS;
-/// The shortest time between two writes of an allocator that no call waits for, in milliseconds.
+/// The shortest time between two writes of an allocator while no call waits for a write, in
+/// milliseconds.
 const WRITE_SPAN_MS: u64 = 2_500;
 
 fn acme() -> WorkspaceName {
@@ -225,9 +226,9 @@
     );
 }
 
-/// The same with a smaller surplus: callers whose prompts are paid for are refused after the last
-/// loss. Of the 10 s of demand lost here most are lost the first time, as no losses are known
-/// before it.
+/// All routers lose power four times with half the surplus of the test above: some callers whose
+/// prompts are paid for are refused after the last loss. Of the 10 s of demand lost here, most are
+/// lost the first time, as no losses are known before it.
 #[test]
 fn keepers_lost_four_times_with_little_to_spare() {
     let mut fleet = LossyFleet::new(DEMAND * 92 * 23 / 20);
@@ -273,7 +274,7 @@
     assert!(served > 0.99, "served {served:.2}");
 }
 
-/// Guards against tokens lost in domains without callers.
+/// Allocators of domains without callers lose only small remainders of the total.
 #[test]
 fn allocators_without_callers_lose_only_small_remainders() {
     let mut fleet = LossyFleet::new(DEMAND * 120);
@@ -288,8 +289,8 @@
     );
 }
 
-/// Guards against calls refused for good because each loss past the bound takes seconds of demand
-/// again.
+/// Past the loss bound, each further loss takes little. If each took seconds of demand again, calls
+/// would finally be refused for good.
 #[test]
 fn allocators_past_the_loss_bound_lose_little() {
     let mut fleet = LossyFleet::new(DEMAND * 120);
--- a/crates/beechsaddle-core/tests/gateway_permit_issuer.rs
+++ b/crates/beechsaddle-core/tests/gateway_permit_issuer.rs
@@ -104,8 +104,7 @@
     }
 }
 
-/// Guards against many routers whose sum exceeds the limit, and against a limit that is mostly
-/// unused.
+/// Any number of routers together stays within the limit, and uses most of it.
 #[test]
 fn issuer_any_number_of_routers_stays_within_limit() {
     for routers in [1, 3, 8, 24, 195] {
@@ -128,8 +127,8 @@
     }
 }
 
-/// Guards against permits that accumulate while there are no requests, and are then all used at
-/// once.
+/// Permits that accumulate while there are no requests must not exceed the limit when they are used
+/// at once.
 #[test]
 fn issuer_burst_after_idle_stays_within_limit() {
     for per_s in [0.3, 1.0, 5.0, 50.0] {
@@ -147,7 +146,7 @@
     }
 }
 
-/// Guards against hundreds of routers that request permits from one issuer without backing off.
+/// Hundreds of routers that are refused permits by one issuer back off.
 #[test]
 fn issuer_refused_routers_back_off() {
     let mut model = LimitModel::new(195, 1.0);
@@ -161,8 +160,8 @@
     assert!(requests <= 30 * 195, "{requests} requests in a minute");
 }
 
-/// Guards against two routers that both issue all permits while some routers do not know the newer
-/// one.
+/// While some routers do not know a new issuer, it and the old one issue permits. Both together
+/// must stay within the limit.
 #[test]
 fn issuer_that_joins_starts_slowly() {
     for (seed, per_s) in [(1, 1.0), (2, 5.0), (3, 20.0), (4, 0.5)] {
@@ -185,8 +184,8 @@
     }
 }
 
-/// Guards against routers that cannot reach the issuer, or only at times, and together with the
-/// others exceed the limit.
+/// Routers that cannot reach the issuer, always or at times, use a substitute. The whole fleet
+/// still stays within the limit.
 #[test]
 fn issuer_substitute_grants_a_smaller_part() {
     for seed in 0..40 {
@@ -213,7 +212,7 @@
     }
 }
 
-/// Guards against a limit that outlives its end, or is lost when it changes.
+/// A limit does not outlive its end, and is not lost when it changes.
 #[test]
 fn issuer_applies_the_latest_limit() {
     let mut issuer = PermitIssuer::default();
@@ -243,8 +242,7 @@
     ));
 }
 
-/// Guards against a limit that is ended by a delayed older answer without one, and against one that
-/// never ends.
+/// A delayed older answer without a limit does not end a newer limit; a newer one does.
 #[test]
 fn limit_state_reordered_answer_ends_no_limit() {
     let mut state = LimitState::default();
--- a/crates/beechsaddle-core/tests/gateway_suspect_choice.rs
+++ b/crates/beechsaddle-core/tests/gateway_suspect_choice.rs
@@ -5,7 +5,8 @@
 use beechsaddle_core::gateway::AttemptLoad;
 use choice_support::{NAMES, chosen, roster, stats};
 
-/// Guards against a request that may crash its target and is sent to the most loaded one.
+/// A request that may crash its target is sent to the least loaded one, where a crash ends the
+/// fewest other requests.
 #[test]
 fn suspect_goes_to_least_loaded_target() {
     let mut roster = roster();
@@ -17,8 +18,8 @@
     }
 }
 
-/// Guards against suspects of one crash that are sent to the same target again, whose crash would
-/// not identify the cause either.
+/// Two suspects of one crash are sent to different targets: another crash of a target that runs
+/// both would not identify the cause either.
 #[test]
 fn suspects_of_one_crash_go_to_different_targets() {
     let roster = roster();
@@ -31,7 +32,7 @@
     assert_eq!(targets, NAMES);
 }
 
-/// Guards against other requests that are sent to a target which may crash at any time.
+/// Other requests avoid a target that runs a suspect, as it may crash at any time.
 #[test]
 fn other_requests_avoid_target_with_suspect() {
     for shared in ["a", "b", "c", "d"] {
--- a/crates/beechsaddle-core/tests/retry_policy.rs
+++ b/crates/beechsaddle-core/tests/retry_policy.rs
@@ -126,7 +126,7 @@
 #[test]
 fn decide_bounds_retry_amplification() {
     // All targets fail. Three attempts per call would triple the load on overloaded targets and
-    // prevent their recovery; the budget limits it to a tenth more.
+    // prevent their recovery; the retry budget limits retries to a tenth of the calls.
     for percent in [10, 50, 100] {
         let factor = amplification(percent);
         assert!(
--- a/crates/beechsaddle-core/tests/router_fences.rs
+++ b/crates/beechsaddle-core/tests/router_fences.rs
@@ -63,8 +63,7 @@
     assert_eq!(fleet.faults, Vec::<String>::new());
 }
 
-/// Guards against a journal that stays open because every router that knew of its owner's death
-/// died too.
+/// A dead router's journal is closed even if every router that knew of the death died too.
 #[test]
 fn fence_finds_grants_after_all_peers_died() {
     for seed in 300..310 {
--- a/crates/beechsaddle-core/tests/router_interleavings.rs
+++ b/crates/beechsaddle-core/tests/router_interleavings.rs
@@ -119,8 +119,8 @@
     );
 }
 
-/// Guards against a bill for a call that never ran because its router was presumed dead while it
-/// waited.
+/// A call that never ran, because its router was presumed dead while the call waited, must not be
+/// billed.
 #[test]
 fn interleavings_call_not_run_before_router_loss_is_not_billed() {
     assert_eq!(run_session(1_185, &draw_steps(1_185)), Vec::<String>::new());
--- a/crates/beechsaddle-lab/src/measure/grants/mod.rs
+++ b/crates/beechsaddle-lab/src/measure/grants/mod.rs
@@ -19,8 +19,8 @@
 /// The number of seeds per set of parameters; results are means over them.
 const SEEDS: u64 = 3;
 
-/// The measured outage reserves: durations of an outage that held tokens should last for, in
-/// milliseconds.
+/// The measured outage reserves, in milliseconds: how long an outage may last that a router's held
+/// tokens are meant to cover.
 const OUTAGE_RESERVES_MS: [u64; 5] = [2_000, 5_000, 10_000, 30_000, 60_000];
 
 /// The measured budget sizes, in reservations of one call.
--- a/crates/beechsaddle-lab/src/stand_in/engine/load_history.rs
+++ b/crates/beechsaddle-lab/src/stand_in/engine/load_history.rs
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Evicts old values up to the last one before the reporting delay.
+    /// Evicts the values older than the reporting delay, except the newest of them, which is the
+    /// one to report.
     fn evict_old(&mut self, now: Instant) {
         while self
             .loads
--- a/crates/beechsaddle-lab/tests/soak_seeds.rs
+++ b/crates/beechsaddle-lab/tests/soak_seeds.rs
@@ -43,8 +43,8 @@
     check_seed(1_796_252_320, 8).await;
 }
 
-/// Guards against failures when targets crash, requests crash them and limits apply, together
-/// with the faults of a fleet.
+/// The fleet's faults are combined with targets that crash, requests that crash them and rate
+/// limits of targets.
 #[tokio::test(flavor = "multi_thread")]
 async fn soak_crashes_and_limits_keep_all_invariants() {
     check_faults(2, 6, true).await;
--- a/crates/beechsaddle/src/calls/attempt_failure.rs
+++ b/crates/beechsaddle/src/calls/attempt_failure.rs
@@ -11,8 +11,9 @@
 ///
 /// The library reports a failed connect with the same kind as a failed request; only the source
 /// differs: a bare I/O error comes from connecting, an error of the HTTP connection from a request
-/// on it. Of the latter, a cancelled request was still in the queue of its connection. In all other
-/// cases the request may have run and must not be reported as "not run".
+/// on it. Among the errors of the HTTP connection, a cancelled request was still in the queue of
+/// its connection. In all other cases the request may have run and must not be reported as "not
+/// run".
 pub(crate) fn read_client_error(error: &ClientError) -> AttemptFailure {
     match error.kind() {
         ErrorKind::Connect | ErrorKind::Builder | ErrorKind::Context | ErrorKind::LoadBalance => {
--- a/crates/beechsaddle/src/gateway/cached_ledger.rs
+++ b/crates/beechsaddle/src/gateway/cached_ledger.rs
@@ -3,7 +3,8 @@
 
 use beechsaddle_core::prelude::*;
 
-/// Minimum interval between two writes of a ledger that no call waits for, in milliseconds.
+/// Minimum interval between two writes of a ledger while no call waits for a write, in
+/// milliseconds.
 const IDLE_WRITE_INTERVAL_MS: u64 = 2_500;
 
 /// Period over which the first writes of ledgers are spread, in milliseconds. The allocators of a starting
--- a/crates/beechsaddle/src/gateway/changes/router_registry.rs
+++ b/crates/beechsaddle/src/gateway/changes/router_registry.rs
@@ -55,8 +55,9 @@
 /// Whether this host was already registered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OwnEntry {
-    /// An earlier process registered it, and the fleet with it. There is no need to wait for
-    /// others, so that callers are served at once after a loss of all routers.
+    /// An earlier process on this host registered it, so the list usually holds the rest of the
+    /// fleet already. There is no need to wait for others, so that callers are served at once after
+    /// a loss of all routers.
     Existing,
     /// The entry is new, as in a fleet that starts for the first time.
     Created,
--- a/crates/beechsaddle/src/gateway/changes/store_follow.rs
+++ b/crates/beechsaddle/src/gateway/changes/store_follow.rs
@@ -38,8 +38,8 @@
 /// See [`FALLBACK_WATCH`].
 const FALLBACK_PAUSE: Duration = Duration::from_millis(250);
 
-/// How long a starting router waits for the list of the other routers: well within the time in
-/// which it must be as up to date as they are.
+/// Time limit for a starting router to learn the list of the other routers: well below the time
+/// within which it must know the same changes as they do.
 pub(in crate::gateway) const SETTLE_WAIT: Duration = Duration::from_millis(2_500);
 
 /// The next step of following a kind.
--- a/crates/beechsaddle/src/gateway/changes/store_probe.rs
+++ b/crates/beechsaddle/src/gateway/changes/store_probe.rs
@@ -96,8 +96,8 @@
     /// Triggers a probe and waits briefly for its answer.
     ///
     /// A router learns that others follow it only from their requests, when the store may not have
-    /// answered it for a second. Without this probe it sent them to other routers, and each start
-    /// of a fleet left four followers in a domain instead of two.
+    /// answered it for a second. Without this probe the router sent those that asked it to other
+    /// routers, and each start of a fleet left four followers in a domain instead of two.
     pub(in crate::gateway) async fn refresh(&self) {
         let answered = self.answered.notified();
         self.probe_requested.notify_one();
--- a/crates/beechsaddle/src/gateway/clock_manager.rs
+++ b/crates/beechsaddle/src/gateway/clock_manager.rs
@@ -121,7 +121,8 @@
         Ok(Err(error)) => error,
         Err(_) => "no answer in time".to_owned(),
     };
-    // The peer is not marked as down here, but only where a request depends on it alone.
+    // A failed clock reading does not mark the peer as down, as other peers' clocks can replace its
+    // own. Only requests that depend on a single peer do so.
     let fields = [("peer", peer.host.to_string()), ("error", failure)];
     state.report.log(LogLevel::Debug, "clock_unread", fields);
 }
--- a/crates/beechsaddle/src/gateway/crashes/crash_broadcast.rs
+++ b/crates/beechsaddle/src/gateway/crashes/crash_broadcast.rs
@@ -100,8 +100,8 @@
     let mut unresponsive = None;
     loop {
         match coordinator(state, fingerprint) {
-            // The same router is still the coordinator, because a router with a saturated link
-            // marks no other as down. The others get the report from the store.
+            // The peer did not answer and is still the coordinator: this router's own link is
+            // saturated, so it marks no peer as down. Other routers get the report from the store.
             Some(peer) if unresponsive.as_ref() == Some(&peer.host) => return,
             Some(peer) if send_reports(state, &peer, reports, false).await => return,
             Some(peer) => unresponsive = Some(peer.host),
--- a/crates/beechsaddle/src/gateway/crashes/crash_probe.rs
+++ b/crates/beechsaddle/src/gateway/crashes/crash_probe.rs
@@ -38,8 +38,8 @@
 /// Checks whether a target crashed while it ran a request, and records the crash if so.
 ///
 /// A broken connection alone proves little: targets reset single calls, and links lose connections.
-/// A process that has ended refuses new connections. If neither is certain, as behind a severed
-/// link, no crash is attributed to the request.
+/// A process that has ended refuses new connections. If it is not certain whether the process has
+/// ended, as behind a severed link, no crash is attributed to the request.
 pub(in crate::gateway) async fn detect_crash(
     state: &Rc<GatewayState>,
     run: SuspectRun,
--- a/crates/beechsaddle/src/gateway/gateway_metrics.rs
+++ b/crates/beechsaddle/src/gateway/gateway_metrics.rs
@@ -67,7 +67,7 @@
     pub(super) ejections: Counter,
     /// Attempts during which a target crashed.
     pub(super) crashes_seen: Counter,
-    /// Blocked requests, because targets crash while executing them.
+    /// Requests that are blocked because targets crash while executing them.
     pub(super) requests_blocked: Gauge,
     /// Refused requests for permits of rate-limited targets.
     pub(super) permits_refused: Counter,
--- a/crates/beechsaddle/src/gateway/gateway_process.rs
+++ b/crates/beechsaddle/src/gateway/gateway_process.rs
@@ -70,7 +70,8 @@
         .wrap_err("cannot create the runtime")?;
     let state = Rc::new(GatewayState::new(settings, me, report));
     let served = LocalSet::new().block_on(&runtime, serve(Rc::clone(&state), path));
-    // Tasks that hold the state end with the runtime; the log ends with the state.
+    // The log thread ends once the last reference to the state is dropped, and the runtime's tasks
+    // hold such references, so the runtime is dropped first.
     drop(runtime);
     state.log_store_tally();
     state.report.log(LogLevel::Info, "stopped", []);
--- a/crates/beechsaddle/src/gateway/gateway_settings.rs
+++ b/crates/beechsaddle/src/gateway/gateway_settings.rs
@@ -27,7 +27,7 @@
 /// force, in milliseconds: a listing, and timers that fire late.
 const WATCH_MARGIN_MS: u64 = 600;
 
-/// Maximum wait of a watch, in milliseconds, regardless of the bounds.
+/// Maximum wait of a watch, in milliseconds, even if the platform's bounds allow a longer one.
 const WATCH_MAX_MS: u64 = 10_000;
 
 /// Default interval between store probes, in milliseconds. A lost connection is detected within this
@@ -212,12 +212,14 @@
     (propagation_ms as u64 / 4).clamp(RELAY_AGE_MIN_MS, DEFAULT_PROBE_MS)
 }
 
-/// Returns how long a watch may wait within the platform's bounds.
+/// Returns how long a watch may wait so that changes are in force in time even if the store has
+/// lost the watch.
 ///
-/// A store that is silent for less than the probe interval loses its watches, and the router only detects
-/// that when their wait and a call timeout are over. The platform's bounds do not apply for `settle_ms`
-/// after such a silence, and a change after that has to be in effect within `in_force_ms`: the wait ends
-/// before both are over. Watches are half of a large fleet's store calls, so longer ones are worthwhile.
+/// A store that is silent for less than the probe interval loses its watches, and the router only
+/// detects the loss when the wait and a call timeout are over. The platform's bounds do not apply
+/// for `settle_ms` after the silence, and a later change has to be in force within
+/// `propagation_ms`, so the wait and the call timeout end before the sum of the two. Longer waits
+/// are worthwhile, as watches are half of a large fleet's store calls.
 fn default_watch_ms(bounds: Option<StoreBounds>, call_ms: u64) -> u64 {
     let Some(bounds) = bounds else {
         return DEFAULT_WATCH_MS;
--- a/crates/beechsaddle/src/gateway/gateway_state.rs
+++ b/crates/beechsaddle/src/gateway/gateway_state.rs
@@ -34,7 +34,7 @@
 pub(super) enum GatewayPhase {
     /// The gateway is not shutting down.
     Serving,
-    /// It is no longer ready, but still accepts connections; each closes after its answer.
+    /// The router is no longer ready, but still accepts connections; each closes after its answer.
     Leaving,
     /// It accepts no new connections and closes idle ones.
     Closing,
--- a/crates/beechsaddle/src/gateway/peer_server.rs
+++ b/crates/beechsaddle/src/gateway/peer_server.rs
@@ -49,7 +49,7 @@
 }
 
 async fn serve_peer(stream: TcpStream, peer: SocketAddr, state: Rc<GatewayState>) {
-    // The messages are small and calls wait for them.
+    // Nagle's algorithm would delay the small messages that calls wait for.
     if stream.set_nodelay(true).is_err() {
         return;
     }
--- a/crates/beechsaddle/src/platform/response_reader.rs
+++ b/crates/beechsaddle/src/platform/response_reader.rs
@@ -113,7 +113,8 @@
             Some(retry_after_ms) => PlatformReply::Throttled {
                 retry_after_ms: retry_after_ms.min(THROTTLE_MAX_MS),
             },
-            // Only the platform itself sends the header, and only before anything takes effect.
+            // Only the platform itself sends `retry-after-ms`, and only before anything takes
+            // effect; without it the call may have taken effect.
             None => PlatformReply::Unknown,
         }
     }
--- a/crates/beechsaddle/tests/explain.rs
+++ b/crates/beechsaddle/tests/explain.rs
@@ -39,7 +39,7 @@
     assert!(explain_call(&index, "x").is_none());
 }
 
-/// Guards against a refusal whose explanation lacks the crashes that caused it.
+/// The explanation of a call that was refused for crashes names those crashes.
 #[test]
 fn explain_call_refused_for_crashes_includes_them() {
     let mut index = LogIndex::default();
--- a/crates/beechsaddle/tests/gateway_budgets.rs
+++ b/crates/beechsaddle/tests/gateway_budgets.rs
@@ -170,8 +170,9 @@
     assert_eq!(taken(&ledger), 0);
 }
 
-/// Nearly all of the total is taken elsewhere, and calls wait for tokens that do not arrive. Guards against
-/// a busy loop: repeating the request at each wake kept the router at full load until the calls timed out.
+/// Nearly all of the total is taken elsewhere, and calls wait for tokens that do not arrive. When
+/// each wake repeated the request for tokens, this busy loop kept the router at full load until the
+/// calls timed out.
 #[tokio::test]
 async fn waiting_calls_cost_no_processor_time() {
     let bench = GatewayBench::start(&draft(1, 100_000)).await;
--- a/crates/beechsaddle/tests/gateway_calls.rs
+++ b/crates/beechsaddle/tests/gateway_calls.rs
@@ -44,8 +44,8 @@
     assert!(reply.seal().starts_with("seal-plain-"));
 }
 
-/// Guards against forwarding invalid input: a missing id, an unknown path or key, a body over the
-/// limit or a bad token count is refused once, reaches no target and spends no token.
+/// Invalid input is not forwarded: a missing id, an unknown path or key, a body over the limit or a
+/// bad token count is refused once, reaches no target and spends no token.
 #[tokio::test]
 async fn bad_input_is_refused_and_reaches_no_target() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -72,9 +72,9 @@
     assert_eq!(GatewayBench::arrival_count(&bench.engines), 0);
 }
 
-/// Guards against request smuggling: a request has both `Content-Length` and chunked framing. The
-/// chunked framing counts (RFC 9112, section 6.3), so the target receives one body with one length
-/// and no second request.
+/// Request smuggling: a request has both `Content-Length` and chunked framing. The chunked framing
+/// counts (RFC 9112, section 6.3), so the target receives one body with one length and no second
+/// request.
 #[tokio::test]
 async fn conflicting_lengths_smuggle_no_request() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -106,8 +106,8 @@
     assert!(!router.is_ready().await);
 }
 
-/// Guards against passing on a failure of one target: a call of an idempotent route is retried at
-/// the other one.
+/// One target fails a call of an idempotent route. The call is retried at the other target, and the
+/// caller does not see the failure.
 #[tokio::test]
 async fn idempotent_failed_is_served_by_another() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -119,8 +119,8 @@
     }
 }
 
-/// Guards against hiding the targets' failure: if all of them fail, the caller gets a target's own
-/// status and signature.
+/// If all targets fail, the failure is not hidden: the caller gets a target's own status and
+/// signature.
 #[tokio::test]
 async fn idempotent_failed_everywhere_passes_the_failure_on() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -131,8 +131,8 @@
     assert_eq!(GatewayBench::run_count(&bench.plain), 2);
 }
 
-/// Guards against running a non-repeatable call twice: a target runs it and closes the connection.
-/// The caller must not be told that it did not run, and no other target may receive it.
+/// A target runs a non-repeatable call and closes the connection. The caller must not be told that
+/// it did not run, and no other target may receive it.
 #[tokio::test]
 async fn not_repeatable_cut_is_unknown_and_runs_once() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -145,8 +145,8 @@
     assert!(line.contains("outcome=outcome_unknown"), "{line}");
 }
 
-/// Guards against a refusal without a retry delay: no target runs the call, and the caller is told
-/// so and when to retry.
+/// When no target runs a non-repeatable call, the refusal says that the call did not run and when
+/// to retry.
 #[tokio::test]
 async fn not_repeatable_full_is_refused_as_not_run() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -159,8 +159,8 @@
     assert_eq!(GatewayBench::run_count(&bench.plain), 0);
 }
 
-/// Guards against forwarding invalid responses: one with the id of another call, one without a
-/// signature and a truncated one.
+/// Invalid responses reach no caller: one with the id of another call, one without a signature and
+/// a truncated one.
 #[tokio::test]
 async fn invalid_answers_reach_no_caller() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -177,8 +177,8 @@
     }
 }
 
-/// Guards against mixing up responses: a target sends a surplus response after each one, which is
-/// still on the reused connection when the next call is sent.
+/// A target sends a surplus response after each response. It is still on the reused connection when
+/// the next call is sent, and must not be taken for the answer to that call.
 #[tokio::test]
 async fn surplus_answer_reaches_no_later_call() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -205,8 +205,8 @@
     assert!(made <= 4, "{made} connections for 20 calls in a row");
 }
 
-/// Guards against work for a caller that has disconnected: the target sees its connection close and
-/// can stop, and the router logs the disconnect.
+/// When a caller disconnects, the target sees its connection close and can stop its work, and the
+/// router logs the disconnect.
 #[tokio::test]
 async fn caller_gone_ends_the_targets_work() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -232,8 +232,8 @@
     assert!(line.contains("outcome=caller_gone"), "{line}");
 }
 
-/// Guards against waiting too long for a silent target: an idempotent call is retried while the
-/// other target can still answer within the objective.
+/// A silent target is abandoned early: an idempotent call is retried while the other target can
+/// still answer within the objective.
 #[tokio::test]
 async fn idempotent_silent_target_is_given_up_early() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -247,8 +247,8 @@
     }
 }
 
-/// Guards against ejecting a target for one late response: the late call is retried at the other
-/// target, and the first one keeps receiving calls.
+/// One late response does not eject a target: the call is retried at the other target, and the late
+/// target keeps receiving calls.
 #[tokio::test]
 async fn idempotent_late_answer_ejects_no_target() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -264,9 +264,9 @@
     assert!(bench.router.log_lines(&["target_ejected"]).is_empty());
 }
 
-/// Guards against repeated calls to a reassigned address: another target has the address of one
-/// that left, and the store does not show it yet. The first call is rejected there and retried
-/// elsewhere; later ones do not use the address again at once.
+/// Another target has the address of a target that left, and the store does not show it yet. The
+/// first call is rejected there and retried elsewhere; later calls do not use the address again at
+/// once.
 #[tokio::test]
 async fn misdirected_address_is_not_retried_at_once() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
--- a/crates/beechsaddle/tests/gateway_crashes.rs
+++ b/crates/beechsaddle/tests/gateway_crashes.rs
@@ -12,12 +12,13 @@
 /// Time within which all routers must know of a third crash.
 const PROPAGATION_SPAN: Duration = Duration::from_millis(3_000);
 
-/// Maximum number of targets that the request may still reach after that.
+/// Maximum number of targets that the request may still reach after `PROPAGATION_SPAN`.
 const MAX_LATE_ARRIVALS: usize = 3;
 
 const CRASHING: &[u8] = b"crash";
 
-/// Guards against a request that crashes one target after another when it is retried at any router.
+/// A request that crashes its targets reaches only few of them, although it is retried at every
+/// router.
 #[tokio::test]
 async fn crashing_request_reaches_few_targets() {
     let fleet = CrashFleet::start(8).await;
@@ -55,7 +56,7 @@
     }
 }
 
-/// Guards against a refusal that does not say that the request did not run, or that costs tokens.
+/// The refusal of a crashing request says that the request did not run, and costs no tokens.
 #[tokio::test]
 async fn crashing_request_is_refused_before_it_costs_tokens() {
     let fleet = CrashFleet::start(8).await;
@@ -80,7 +81,7 @@
     assert_eq!(other.expect("an answer").status, 200);
 }
 
-/// Guards against a restarted router that counts crashes from zero.
+/// A restarted router still refuses the request, instead of counting its crashes from zero.
 #[tokio::test]
 async fn crashing_request_is_refused_by_restarted_router() {
     let mut fleet = CrashFleet::start(8).await;
@@ -96,8 +97,8 @@
     assert_eq!(fleet.engines.arrivals(CRASHING), before);
 }
 
-/// Guards against a domain that reaches the store but no other router, and keeps sending the
-/// request.
+/// A domain that reaches the store but no other router learns of the crashes through the store, and
+/// stops sending the request.
 #[tokio::test]
 async fn crashing_request_is_known_through_the_store() {
     let fleet = CrashFleet::start(8).await;
@@ -117,7 +118,8 @@
     assert_eq!(fleet.engines.arrivals(CRASHING), before);
 }
 
-/// Guards against refusing or failing other requests that run beside one that crashes targets.
+/// Other requests that run beside one that crashes targets are not refused, and nearly all are
+/// answered.
 #[tokio::test]
 async fn crashing_request_blocks_no_other_request() {
     let fleet = CrashFleet::start(8).await;
@@ -137,7 +139,7 @@
     assert!(answered >= 86, "{answered} of 90 answered");
 }
 
-/// Guards against blocking a popular request after many targets that ran it were killed together.
+/// Many targets that run a popular request are killed together. The request must not be blocked.
 #[tokio::test]
 async fn targets_killed_together_block_no_request() {
     let fleet = CrashFleet::start(6).await;
@@ -177,7 +179,8 @@
     assert!(answered >= 14, "{answered} of 18 answered");
 }
 
-/// Guards against blocking a request because running targets reset its calls.
+/// A running target that resets calls has not crashed, so the request of these calls is not
+/// blocked.
 #[tokio::test]
 async fn broken_connections_of_running_targets_are_no_crashes() {
     let fleet = CrashFleet::start(3).await;
@@ -199,7 +202,7 @@
     assert_eq!(reply.expect("an answer").status, 200);
 }
 
-/// Guards against attributing the planned exit of a draining target to a request that ran there.
+/// The planned exit of a draining target is not attributed to a request that ran there.
 #[tokio::test]
 async fn exit_of_draining_target_is_no_crash() {
     let fleet = CrashFleet::start(1).await;
@@ -220,8 +223,8 @@
     assert!(fleet.routers[0].log_lines(&["target_crashed"]).is_empty());
 }
 
-/// Guards against routers that each try the request once because they all receive it at the same
-/// moment, in every burst.
+/// All routers receive the request at the same moment, in bursts. They must not each try it once in
+/// every burst.
 #[tokio::test]
 async fn crashing_request_in_bursts_reaches_few_targets() {
     let fleet = CrashFleet::start(8).await;
--- a/crates/beechsaddle/tests/gateway_lending.rs
+++ b/crates/beechsaddle/tests/gateway_lending.rs
@@ -109,9 +109,9 @@
     }
 }
 
-/// The last part of a total is split between the allocators of two domains, and calls arrive at one of
-/// them. Guards against calls that are refused until the other allocator has given its remainder back in a
-/// ledger write: it is borrowed at once.
+/// The last part of a total is split between the allocators of two domains, and calls arrive at one
+/// of them. The other allocator's remainder is borrowed at once: if it first had to be given back
+/// in a ledger write, calls would be refused meanwhile.
 #[tokio::test]
 async fn remainder_in_another_domain_is_borrowed() {
     let prepaid = 12_000;
@@ -206,10 +206,10 @@
     assert!(served * USED <= prepaid);
 }
 
-/// Guards against calls that are refused although the store is reachable and hardly any of the total is
-/// used. The allocator of the domain is killed, and a borrower asks the next router in the order. That one
-/// has had no calls, so it still considers itself a borrower of the dead allocator. It used to report a
-/// shortage without asking any router, until it had calls of its own that needed tokens.
+/// The allocator of the domain is killed, and a borrower asks the next router in the order. The
+/// next router has had no calls, so it still considers itself a borrower of the dead allocator. If
+/// it reported a shortage without asking any router, calls would be refused, although the store is
+/// reachable and hardly any of the total is used, until it had calls of its own that needed tokens.
 #[tokio::test]
 async fn next_allocator_takes_over_on_request() {
     let bench = GatewayBench::start(&draft(1, 1_000_000)).await;
@@ -274,10 +274,10 @@
     assert_eq!(written, Vec::<String>::new());
 }
 
-/// The store is unreachable for all routers, and the allocator has nothing left to lend. When the store is
-/// back, only the allocator takes from the ledger. Guards against borrowers that take over the role after
-/// refused requests: dozens conflicted in the first second after an outage, and gave the surplus back in as
-/// many writes.
+/// The store is unreachable for all routers, and the allocator has nothing left to lend. When the
+/// store is back, only the allocator takes from the ledger. When borrowers took over the role after
+/// refused requests, dozens of them conflicted in the first second after an outage, and gave the
+/// surplus back in as many writes.
 #[tokio::test]
 async fn only_the_allocator_writes_after_an_outage() {
     let bench = GatewayBench::start(&draft(1, 1_000_000)).await;
@@ -346,7 +346,8 @@
     assert_eq!(reply.status, 200);
 }
 
-/// Guards against tokens that are lost when the lender's answer arrives after the borrower's timeout.
+/// A lender's answer that arrives after the borrower's timeout is still credited; otherwise the
+/// lent tokens would be lost.
 #[tokio::test]
 async fn late_loan_is_credited() {
     let bench = GatewayBench::start(&draft(1, 1_000_000)).await;
--- a/crates/beechsaddle/tests/gateway_limits.rs
+++ b/crates/beechsaddle/tests/gateway_limits.rs
@@ -8,7 +8,8 @@
 use gateway_support::request;
 use limit_support::{LimitFleet, PROPAGATION_SPAN, max_allowed, max_in_window};
 
-/// Guards against exceeding a target's limit in total while each router stays within its own share.
+/// All routers together stay within a target's limit, not only each router within a share of its
+/// own.
 #[tokio::test(flavor = "multi_thread")]
 async fn limit_holds_across_all_routers() {
     let fleet = LimitFleet::start(4, 8).await;
@@ -23,8 +24,7 @@
     assert!(answered * 50 >= made * 49, "{answered} of {made} answered");
 }
 
-/// Guards against calls that wait until no target has a permit left, or are refused without a retry
-/// delay.
+/// A call is refused at once, with a retry delay, when no target has a permit left.
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_are_refused_at_once_when_all_targets_are_limited() {
     let fleet = LimitFleet::start(2, 3).await;
@@ -56,7 +56,7 @@
     assert!(asked.elapsed() < Duration::from_millis(300));
 }
 
-/// Guards against a target that no router uses again after its limit has ended.
+/// After a target's limit has ended, the routers use the target without a limit again.
 #[tokio::test(flavor = "multi_thread")]
 async fn ended_limit_is_dropped_by_all_routers() {
     let fleet = LimitFleet::start(1, 3).await;
@@ -71,7 +71,7 @@
     assert_eq!(answered, made);
 }
 
-/// Guards against exceeding the limit after the router that issues permits has died.
+/// The limit also holds after the router that issues permits has died.
 #[tokio::test(flavor = "multi_thread")]
 async fn limit_holds_while_routers_are_killed() {
     let mut fleet = LimitFleet::start(3, 6).await;
--- a/crates/beechsaddle/tests/gateway_logs.rs
+++ b/crates/beechsaddle/tests/gateway_logs.rs
@@ -16,8 +16,8 @@
     call
 }
 
-/// Guards against a budget refusal that cannot be traced: the call's id leads to one line with the
-/// workspace, the tokens requested and the wait, and the workspace leads to what was taken when.
+/// A budget refusal can be traced: the call's id leads to one line with the workspace, the tokens
+/// requested and the wait, and the workspace leads to what was taken when.
 #[tokio::test]
 async fn budget_refusal_is_traceable_to_the_ledger() {
     let bench = GatewayBench::start(&draft(1, 10_000)).await;
@@ -37,8 +37,8 @@
     assert!(line.contains("taken="), "{line}");
 }
 
-/// Guards against a broken stream that cannot be traced: its lines name each target, what happened
-/// there, after how many events, and why the stream was not resumed.
+/// A broken stream can be traced: its lines name each target, what happened there, after how many
+/// events, and why the stream was not resumed.
 #[tokio::test]
 async fn broken_stream_is_traceable_to_its_targets() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -59,8 +59,8 @@
     assert_eq!(resumed.len(), 1, "{resumed:?}");
 }
 
-/// Guards against an unknown outcome that cannot be traced: the lines of a non-repeatable call name
-/// the one target that may have run it, and the failure there.
+/// An unknown outcome can be traced: the lines of a non-repeatable call name the one target that
+/// may have run it, and the failure there.
 #[tokio::test]
 async fn unknown_outcome_is_traceable_to_the_target() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -80,7 +80,7 @@
     assert!(ends[0].contains("target=plain-"), "{}", ends[0]);
 }
 
-/// Guards against missing decisions: an answered call logs its admission, its tokens with the age
+/// All decisions of a call are logged: an answered call logs its admission, its tokens with the age
 /// of the ledger copy, and its target, in order and each with the call's id.
 #[tokio::test]
 async fn decisions_of_a_call_are_logged_in_order() {
@@ -103,8 +103,8 @@
     }
 }
 
-/// Guards against losing failures under load: in a burst, the lines of most answered calls are
-/// sampled out and counted, failed calls are all logged, and no call is logged partially.
+/// No failure is lost under load: in a burst, the lines of most answered calls are sampled out and
+/// counted, failed calls are all logged, and no call is logged partially.
 #[tokio::test]
 async fn burst_logs_all_failures_and_complete_calls() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -140,9 +140,8 @@
     call(address, request).await.expect("an answer").status
 }
 
-/// Guards against a blocked log: nothing reads the router's log, and its pipe and ring are full.
-/// Calls are served as before, and the router exits in time although its last lines cannot be
-/// written.
+/// Nothing reads the router's log, and its pipe and ring are full. Calls are served as before, and
+/// the router exits in time although its last lines cannot be written.
 #[tokio::test]
 async fn unread_log_blocks_nothing() {
     let mut bench = GatewayBench::start_with_unread_log(&draft(1, AMPLE)).await;
@@ -171,8 +170,7 @@
     assert_eq!(bench.router.wait_end().await, Some(0));
 }
 
-/// Guards against a status without ages: each item of a router's state is shown with its age, and
-/// the command line shows the same.
+/// Each item of a router's state is shown with its age, and the command line shows the same.
 #[tokio::test]
 async fn status_shows_state_with_ages() {
     let bench = GatewayBench::start(&draft(7, AMPLE)).await;
@@ -196,7 +194,7 @@
     }
 }
 
-/// Guards against a page of metrics that does not list exactly the metrics served.
+/// The page of metrics lists exactly the metrics that are served.
 #[tokio::test]
 async fn metrics_page_lists_every_metric() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
--- a/crates/beechsaddle/tests/gateway_recovery.rs
+++ b/crates/beechsaddle/tests/gateway_recovery.rs
@@ -22,7 +22,7 @@
     numbers.max().unwrap_or(0)
 }
 
-/// Guards against the loss of the outage reserves of all routers when all of them are killed.
+/// When all routers are killed and restarted, their outage reserves are recovered.
 #[tokio::test]
 async fn restarted_routers_recover_what_was_deferred() {
     let mut bench = GatewayBench::start(&draft(1, TOTAL)).await;
--- a/crates/beechsaddle/tests/gateway_relay.rs
+++ b/crates/beechsaddle/tests/gateway_relay.rs
@@ -135,9 +135,9 @@
     }
 }
 
-/// Guards against a watch of every router for every change: seven routers of a domain each watched
-/// the store. Two do so now, and changes of the configuration and of targets must reach all of them
-/// as fast.
+/// Only two of the seven routers of a domain watch the store, so that a change does not end a watch
+/// of every router. Changes of the configuration and of targets must reach all seven as fast as if
+/// each watched.
 #[tokio::test]
 async fn two_followers_relay_changes_to_all_routers() {
     let fleet = RelayFleet::start().await;
@@ -161,20 +161,20 @@
     }
 }
 
-/// Guards against too many followers after a start: seven routers start together, and each asks one
-/// of the two followers for changes, first a second after the store last answered that one. The
-/// follower used to report stale state, and the next in line began to follow the store too, so that
-/// four routers watched it for every change.
+/// Seven routers start together, and each asks one of the two followers for changes, first a second
+/// after the store last answered that follower. When the follower then reported stale state, the
+/// next routers in line began to follow the store too, so that four routers watched it for every
+/// change.
 #[tokio::test]
 async fn starting_fleet_passes_over_no_follower() {
     let fleet = RelayFleet::start_with(GatewayProcess::start_with_rare_probes).await;
     assert_eq!(fleet.step_count("away").await, 0.0);
 }
 
-/// Guards against using a removed target: the store rejects both followers and serves the others
-/// while a target's entry is removed. Routers that reach the store must drop the target within
-/// their usual bound. When the followers reported an outage, they used to take the entry for one
-/// that had lapsed during it, and sent calls to the target for two more seconds.
+/// The store rejects both followers and serves the other routers while a target's entry is removed.
+/// Routers that reach the store must drop the target within their usual bound. When these routers
+/// took the outage that the followers reported for their own, they treated the entry as lapsed in
+/// the outage, and sent calls to the target for two more seconds.
 #[tokio::test]
 async fn removed_target_is_dropped_while_followers_lack_the_store() {
     let fleet = RelayFleet::start().await;
@@ -199,9 +199,8 @@
     );
 }
 
-/// Guards against changes hidden by a frozen follower: the routers that follow it must notice, use
-/// the other follower and have the next configuration in time. The frozen router has it after it
-/// resumes.
+/// A follower freezes. The routers that follow it must notice, use the other follower and have the
+/// next configuration in time; the frozen router has this configuration after it resumes.
 #[tokio::test]
 async fn frozen_follower_hides_no_change() {
     let fleet = RelayFleet::start().await;
@@ -224,8 +223,8 @@
     frozen.wait_log(&["config_in_force", "version=2 "]).await;
 }
 
-/// Guards against the loss of both followers: the other routers ask the next in line or the store
-/// itself, and have the next configuration in time.
+/// Both followers are killed. The other routers ask the next in line or the store itself, and have
+/// the next configuration in time.
 #[tokio::test]
 async fn killed_followers_are_replaced() {
     let fleet = RelayFleet::start().await;
@@ -249,8 +248,8 @@
     );
 }
 
-/// Guards against missed changes after an outage of the store for all routers: a configuration that
-/// is applied as the store recovers reaches all of them in time.
+/// After an outage of the store for all routers, a configuration that is applied as the store
+/// recovers reaches every router in time.
 #[tokio::test]
 async fn all_routers_catch_up_after_store_outage() {
     let fleet = RelayFleet::start().await;
--- a/crates/beechsaddle/tests/gateway_relay_joins.rs
+++ b/crates/beechsaddle/tests/gateway_relay_joins.rs
@@ -23,8 +23,8 @@
 /// Time within which the router must know of a change before it may report that there is none.
 const PROPAGATION_SPAN: Duration = Duration::from_millis(300);
 
-/// Guards against a router that has just joined, does not follow the store yet, and reports that
-/// nothing changed.
+/// A router that has just joined and does not follow the store yet must not report that nothing
+/// changed.
 #[tokio::test]
 async fn joining_router_claims_no_state_before_it_watches() {
     LocalSet::new().run_until(check_claim()).await;
--- a/crates/beechsaddle/tests/gateway_shutdown.rs
+++ b/crates/beechsaddle/tests/gateway_shutdown.rs
@@ -88,8 +88,8 @@
     assert!(bench.router.is_ready().await);
 }
 
-/// Guards against calls that reach a draining target because its state arrives late over the router's own
-/// congested link.
+/// While target states arrive late over the router's own congested link, it takes no calls: they
+/// could reach a target that is draining.
 #[tokio::test]
 async fn full_link_without_target_updates_takes_no_calls() {
     let bench = GatewayBench::start_with_narrow_link(&draft(1, AMPLE)).await;
--- a/crates/beechsaddle/tests/gateway_streams.rs
+++ b/crates/beechsaddle/tests/gateway_streams.rs
@@ -41,8 +41,8 @@
     assert_eq!(event_ids(&reply.body), [1, 2, 3]);
 }
 
-/// Guards against lost or duplicate events: each target disconnects after two events, in the middle
-/// of the third. The next target resumes after the last complete event, within the same response.
+/// No event is lost or sent twice: each target disconnects after two events, in the middle of the
+/// third. The next target resumes after the last complete event, within the same response.
 #[tokio::test]
 async fn resumable_cut_goes_on_in_the_same_answer() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -79,8 +79,7 @@
     }
 }
 
-/// Guards against sending events twice: a caller resumes a stream, and gets only the events it does
-/// not have.
+/// A caller that resumes a stream gets only the events it does not have.
 #[tokio::test]
 async fn resume_by_the_caller_is_passed_on() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -90,8 +89,8 @@
     assert_eq!(event_ids(&reply.body), [2, 3]);
 }
 
-/// Guards against hiding a truncated stream: a non-repeatable stream is cut. The caller sees a
-/// connection that closes without the end of the response, and no other target receives the call.
+/// A non-repeatable stream is cut. The caller can tell that it is truncated, as the connection
+/// closes without the end of the response, and no other target receives the call.
 #[tokio::test]
 async fn non_repeatable_cut_ends_visibly_broken() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -107,9 +106,8 @@
     assert_eq!(GatewayBench::run_count(&bench.engines), 1);
 }
 
-/// Guards against waiting for a dead target: it accepts a stream and sends nothing for this call or
-/// any other. The stream is restarted at another target, although the first never closed its
-/// connection.
+/// A dead target accepts a stream and sends nothing for this call or any other. The stream is
+/// restarted at another target, although the dead target never closed its connection.
 #[tokio::test]
 async fn resumable_silent_target_is_given_up() {
     let bench = GatewayBench::start(&draft(1, AMPLE)).await;
@@ -122,8 +120,7 @@
     }
 }
 
-/// Guards against streams that outlast their route's timeout: the response ends at the timeout, and
-/// so does the target's work.
+/// A stream ends at its route's timeout, and so does the target's work on it.
 #[tokio::test]
 async fn route_timeout_ends_the_stream() {
     let mut config = draft(1, AMPLE);
@@ -147,7 +144,7 @@
     .await;
 }
 
-/// Guards against buffering: the first event must reach the caller long before the last one is
+/// Events are not buffered: the first one must reach the caller long before the last one is
 /// generated.
 #[tokio::test]
 async fn events_are_forwarded_as_they_arrive() {
--- a/crates/beechsaddle/tests/gateway_support/mod.rs
+++ b/crates/beechsaddle/tests/gateway_support/mod.rs
@@ -272,22 +272,22 @@
         bench
     }
 
-    /// Starts the same with a router that holds no tokens in advance, except for one call as large as the
-    /// largest.
+    /// Starts a bench like [`start`](Self::start) with a router that holds no tokens in advance,
+    /// except for one call as large as the largest.
     pub async fn start_with_low_holdings(draft: &ConfigDraft) -> Self {
         let bench = GatewayBench::start_with(draft, GatewayProcess::start_with_low_holdings).await;
         bench.router.wait_log(&["target_joined", "engine-1"]).await;
         bench
     }
 
-    /// Starts the same with a router on a host with a slow link.
+    /// Starts a bench like [`start`](Self::start) with a router on a host with a slow link.
     pub async fn start_with_narrow_link(draft: &ConfigDraft) -> Self {
         let bench = GatewayBench::start_with(draft, GatewayProcess::start_with_narrow_link).await;
         bench.router.wait_log(&["target_joined", "plain-1"]).await;
         bench
     }
 
-    /// Starts the same with a router whose log is never read.
+    /// Starts a bench like [`start`](Self::start) with a router whose log is never read.
     pub async fn start_with_unread_log(draft: &ConfigDraft) -> Self {
         let bench = GatewayBench::start_with(draft, GatewayProcess::start_with_unread_log).await;
         wait_for("targets", || async {
--- a/crates/beechsaddle/tests/peers_auth.rs
+++ b/crates/beechsaddle/tests/peers_auth.rs
@@ -206,7 +206,8 @@
     assert!(right.events.is_empty());
 }
 
-// The same with a sender that does not check the incarnation: the new one itself has to refuse.
+// A sender that does not check the incarnation greets the earlier one: the new incarnation itself
+// has to refuse.
 #[test]
 fn hello_for_other_incarnation_is_refused() {
     let edge = start("host-b", 8, options(SECRET));
--- a/crates/beechsaddle/tests/settings_page.rs
+++ b/crates/beechsaddle/tests/settings_page.rs
@@ -37,8 +37,8 @@
     assert_eq!(short.platform, settings.platform);
 }
 
-// Guards against keys that are read but not documented: an unknown key in each table makes the
-// check list all known ones.
+// Every key that is read is documented: an unknown key in each table makes the check list all known
+// keys.
 #[test]
 fn documented_file_names_every_key() {
     let text = documented_file();
