--- a/crates/beechsaddle-core/src/gateway/escrow_account.rs
+++ b/crates/beechsaddle-core/src/gateway/escrow_account.rs
@@ -5,7 +5,7 @@
 
 use super::deferred_change::PendingChange;
 use super::demand_peak::DemandPeak;
-use super::{BudgetLedger, DemandRate, EscrowFacts, EscrowOptions, EscrowRole, TokenTransfer};
+use super::{DemandRate, EscrowFacts, EscrowOptions, EscrowRole, TokenTransfer, WorkspaceLedger};
 use crate::clock::ClockTime;
 
 /// Half-life of the average demand, in milliseconds.
@@ -39,7 +39,7 @@
     /// The router's idle tokens according to its last entry in the ledger.
     pub(super) reported_idle: u64,
     /// The ledger as last read or written.
-    pub(super) ledger: Option<BudgetLedger>,
+    pub(super) ledger: Option<WorkspaceLedger>,
     /// The change whose outcome is unknown.
     pub(super) pending: Option<PendingChange>,
     /// Number of routers that allocate tokens of the workspace.
@@ -115,7 +115,7 @@
     pub(super) fn set_ledger(
         &mut self,
         now: ClockTime,
-        ledger: BudgetLedger,
+        ledger: WorkspaceLedger,
         options: &EscrowOptions,
     ) {
         let left = self.left();
--- a/crates/beechsaddle-core/src/gateway/mod.rs
+++ b/crates/beechsaddle-core/src/gateway/mod.rs
@@ -4,7 +4,6 @@
 //! Nothing here performs I/O. Each type takes the time and the observations of an edge, and returns
 //! a decision with the facts behind it, so that tests can replay any order of events.
 
-mod budget_ledger;
 mod caller_limits;
 mod change_log;
 mod change_source;
@@ -41,8 +40,8 @@
 mod token_escrow;
 mod token_loan;
 mod transfer_plan;
+mod workspace_ledger;
 
-pub use budget_ledger::{BudgetLedger, DeferredReserve, LedgerChange, TokenTransfer};
 pub use caller_limits::CallerLimits;
 pub use change_log::{ChangeBatch, ChangeLog, ChangeReply};
 pub use change_source::{ChangeSource, FollowFailure, SourceSelector};
@@ -75,3 +74,4 @@
 pub use target_stats::{AttemptLoad, TargetStats};
 pub use token_escrow::{ReserveOutcome, TokenEscrow};
 pub use token_loan::{LoanReply, LoanRequest, LoanReturn};
+pub use workspace_ledger::{DeferredReserve, LedgerChange, TokenTransfer, WorkspaceLedger};
--- a/crates/beechsaddle-core/src/gateway/token_escrow.rs
+++ b/crates/beechsaddle-core/src/gateway/token_escrow.rs
@@ -5,7 +5,8 @@
 use super::EscrowFacts;
 use super::escrow_account::EscrowAccount;
 use super::{
-    BudgetLedger, ClockBounds, EscrowOptions, EscrowRole, GatewayConfig, LedgerChange, StartBound,
+    ClockBounds, EscrowOptions, EscrowRole, GatewayConfig, LedgerChange, StartBound,
+    WorkspaceLedger,
 };
 use crate::clock::ClockTime;
 use crate::names::WorkspaceName;
@@ -199,7 +200,7 @@
     }
 
     /// Returns the ledger of a workspace as last read or written.
-    pub fn ledger(&self, workspace: &WorkspaceName) -> Option<&BudgetLedger> {
+    pub fn ledger(&self, workspace: &WorkspaceName) -> Option<&WorkspaceLedger> {
         self.accounts.get(workspace)?.ledger.as_ref()
     }
 
@@ -220,7 +221,7 @@
         &mut self,
         now: ClockTime,
         workspace: &WorkspaceName,
-        ledger: BudgetLedger,
+        ledger: WorkspaceLedger,
         is_newer: bool,
     ) {
         let pending = self.pending_number(workspace);
@@ -232,7 +233,7 @@
         }
     }
 
-    fn set_ledger(&mut self, now: ClockTime, workspace: &WorkspaceName, ledger: BudgetLedger) {
+    fn set_ledger(&mut self, now: ClockTime, workspace: &WorkspaceName, ledger: WorkspaceLedger) {
         if let Some(account) = self.accounts.get_mut(workspace) {
             account.uncounted_losses = ledger.uncounted_losses(&self.router);
             account.set_ledger(now, ledger, &self.options);
@@ -265,7 +266,7 @@
     }
 
     /// Applies the pending change of a workspace, which is in its ledger.
-    pub fn commit(&mut self, now: ClockTime, workspace: &WorkspaceName, ledger: BudgetLedger) {
+    pub fn commit(&mut self, now: ClockTime, workspace: &WorkspaceName, ledger: WorkspaceLedger) {
         if let Some(account) = self.accounts.get_mut(workspace) {
             account.commit_change();
         }
@@ -273,7 +274,7 @@
     }
 
     /// Reverts the pending change of a workspace, which is not in its ledger and never will be.
-    pub fn revert(&mut self, now: ClockTime, workspace: &WorkspaceName, ledger: BudgetLedger) {
+    pub fn revert(&mut self, now: ClockTime, workspace: &WorkspaceName, ledger: WorkspaceLedger) {
         if let Some(account) = self.accounts.get_mut(workspace) {
             account.revert_change();
         }
--- a/crates/beechsaddle-core/src/gateway/budget_ledger.rs
+++ b/crates/beechsaddle-core/src/gateway/workspace_ledger.rs
@@ -1,4 +1,4 @@
-//! The `budget_ledger` module provides the durable record of the tokens that routers took from a
+//! The `workspace_ledger` module provides the durable record of the tokens that routers took from a
 //! prepaid total.
 
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,7 @@
 /// ([`DeferredReserve`]). Each workspace has its own ledger object, so that only its few allocators
 /// contend for it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BudgetLedger {
+pub struct WorkspaceLedger {
     /// Tokens taken, in total.
     pub taken: u64,
     /// Tokens lost with terminated routers, by the idle count that each last wrote. This is an
@@ -105,7 +105,7 @@
     GiveBack(u64),
 }
 
-impl BudgetLedger {
+impl WorkspaceLedger {
     /// Returns the ledger after a change by `router`.
     ///
     /// A host runs one process at a time, so entries of other incarnations on the same host belong
@@ -133,7 +133,7 @@
         let others = self.writers.iter();
         let others = others.filter(|mark| mark.router != router && !is_settled(mark));
         let writers = std::iter::once(own).chain(others.cloned());
-        BudgetLedger {
+        WorkspaceLedger {
             taken: taken.saturating_sub(returned),
             lost: self.lost.saturating_add(idle_total - returned),
             writers: writers.take(WRITERS_MAX).collect(),
@@ -142,7 +142,7 @@
 
     /// Returns the tokens recovered from ended processes when this ledger became `next` by a
     /// change.
-    pub fn recovered_in(&self, next: &BudgetLedger, change: LedgerChange) -> u64 {
+    pub fn recovered_in(&self, next: &WorkspaceLedger, change: LedgerChange) -> u64 {
         self.taken_after(change.transfer).saturating_sub(next.taken)
     }
 
--- a/crates/beechsaddle-core/tests/gateway_deferred.rs
+++ b/crates/beechsaddle-core/tests/gateway_deferred.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 
 use beechsaddle_core::gateway::{
-    BudgetLedger, CallerLimits, ClockReading, EscrowOptions, EscrowRole, FleetClock, GatewayConfig,
-    LedgerChange, LoanReply, LoanRequest, ReserveOutcome, TokenEscrow, TokenTransfer,
+    CallerLimits, ClockReading, EscrowOptions, EscrowRole, FleetClock, GatewayConfig, LedgerChange,
+    LoanReply, LoanRequest, ReserveOutcome, TokenEscrow, TokenTransfer, WorkspaceLedger,
     WorkspaceRule,
 };
 use beechsaddle_core::prelude::*;
@@ -83,7 +83,7 @@
     due_ms: u64,
     revision: u64,
     change: LedgerChange,
-    ledger: BudgetLedger,
+    ledger: WorkspaceLedger,
 }
 
 struct DeferredSession {
@@ -96,7 +96,7 @@
     version: u64,
     prepaid: u64,
     revision: u64,
-    ledger: BudgetLedger,
+    ledger: WorkspaceLedger,
     late: Vec<LateWrite>,
     hosts: Vec<SessionHost>,
     ended: BTreeMap<String, EndedProcess>,
@@ -125,7 +125,7 @@
             version: 1,
             prepaid: FIRST_TOTAL,
             revision: 1,
-            ledger: BudgetLedger::default(),
+            ledger: WorkspaceLedger::default(),
             late: Vec::new(),
             hosts,
             ended: BTreeMap::new(),
@@ -398,7 +398,7 @@
 
     /// Applies a write in the store, and compares the recovered tokens with those that the earlier
     /// processes had not used.
-    fn put(&mut self, change: LedgerChange, next: BudgetLedger) {
+    fn put(&mut self, change: LedgerChange, next: WorkspaceLedger) {
         let is_present = |router: &str| next.writers.iter().any(|mark| mark.router == router);
         let settled = self.ledger.writers.iter();
         let settled = settled.filter(|mark| !is_present(&mark.router));
@@ -513,7 +513,7 @@
     escrow.set_config(now, &config(1, FIRST_TOTAL));
     escrow.set_fleet(3, 3);
     escrow.set_role(&acme(), EscrowRole::Allocator);
-    escrow.take_ledger(now, &acme(), BudgetLedger::default(), true);
+    escrow.take_ledger(now, &acme(), WorkspaceLedger::default(), true);
     let change = escrow.plan(now, &acme());
     assert_eq!(escrow.plan(now, &acme()), change);
     escrow.withdraw(&acme());
--- a/crates/beechsaddle-core/tests/gateway_escrow.rs
+++ b/crates/beechsaddle-core/tests/gateway_escrow.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use beechsaddle_core::gateway::{
-    BudgetLedger, CallerLimits, EscrowOptions, EscrowRole, GatewayConfig, LedgerChange, LoanReply,
-    LoanRequest, LoanReturn, ReserveOutcome, TokenEscrow, TokenTransfer, WorkspaceRule,
+    CallerLimits, EscrowOptions, EscrowRole, GatewayConfig, LedgerChange, LoanReply, LoanRequest,
+    LoanReturn, ReserveOutcome, TokenEscrow, TokenTransfer, WorkspaceLedger, WorkspaceRule,
 };
 use beechsaddle_core::prelude::*;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -26,10 +26,10 @@
     WorkspaceName::new("acme")
 }
 
-fn taken(tokens: u64) -> BudgetLedger {
-    BudgetLedger {
+fn taken(tokens: u64) -> WorkspaceLedger {
+    WorkspaceLedger {
         taken: tokens,
-        ..BudgetLedger::default()
+        ..WorkspaceLedger::default()
     }
 }
 
@@ -38,7 +38,7 @@
     escrow.set_config(START, &config(1, prepaid));
     escrow.set_fleet(3, 3);
     escrow.set_role(&acme(), EscrowRole::Allocator);
-    escrow.take_ledger(START, &acme(), BudgetLedger::default(), true);
+    escrow.take_ledger(START, &acme(), WorkspaceLedger::default(), true);
     escrow
 }
 
@@ -549,7 +549,7 @@
 #[derive(Clone, Debug)]
 struct LateWrite {
     revision: u64,
-    ledger: BudgetLedger,
+    ledger: WorkspaceLedger,
 }
 
 #[derive(Debug)]
@@ -567,9 +567,9 @@
     version: u64,
     incarnations: u64,
     revision: u64,
-    ledger: BudgetLedger,
+    ledger: WorkspaceLedger,
     /// All ledgers that were written, the first at revision 1.
-    written: Vec<BudgetLedger>,
+    written: Vec<WorkspaceLedger>,
     late: Vec<LateWrite>,
     routers: BTreeMap<u8, SessionRouter>,
     spent: u64,
@@ -583,8 +583,8 @@
             version: 1,
             incarnations: 0,
             revision: 1,
-            ledger: BudgetLedger::default(),
-            written: vec![BudgetLedger::default()],
+            ledger: WorkspaceLedger::default(),
+            written: vec![WorkspaceLedger::default()],
             late: Vec::new(),
             routers: BTreeMap::new(),
             spent: 0,
@@ -777,7 +777,7 @@
         self.put(next);
     }
 
-    fn put(&mut self, ledger: BudgetLedger) {
+    fn put(&mut self, ledger: WorkspaceLedger) {
         self.ledger = ledger.clone();
         self.written.push(ledger);
         self.revision += 1;
--- a/crates/beechsaddle-core/tests/gateway_losses.rs
+++ b/crates/beechsaddle-core/tests/gateway_losses.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use beechsaddle_core::gateway::{
-    BudgetLedger, CallerLimits, ClockBounds, EscrowOptions, EscrowRole, GatewayConfig,
-    LedgerChange, LoanReply, LoanRequest, ReserveOutcome, StartBound, TokenEscrow, TokenTransfer,
+    CallerLimits, ClockBounds, EscrowOptions, EscrowRole, GatewayConfig, LedgerChange, LoanReply,
+    LoanRequest, ReserveOutcome, StartBound, TokenEscrow, TokenTransfer, WorkspaceLedger,
     WorkspaceRule,
 };
 use beechsaddle_core::prelude::*;
@@ -55,7 +55,7 @@
 struct LossyFleet {
     now: ClockTime,
     prepaid: u64,
-    ledger: BudgetLedger,
+    ledger: WorkspaceLedger,
     is_store_unavailable: bool,
     allocators: Vec<DomainAllocator>,
     incarnations: u64,
@@ -70,7 +70,7 @@
         let mut fleet = LossyFleet {
             now: START,
             prepaid,
-            ledger: BudgetLedger::default(),
+            ledger: WorkspaceLedger::default(),
             is_store_unavailable: false,
             allocators: Vec::new(),
             incarnations: 0,
@@ -332,7 +332,7 @@
         deferred: None,
         started: StartBound::Unknown,
     };
-    let ledger = BudgetLedger::default();
+    let ledger = WorkspaceLedger::default();
     let ledger = ledger.with_change("host-1@10", change(1, 500, 500));
     let ledger = ledger.with_change("host-2@10", change(1, 300, 300));
     let ledger = ledger.with_change("host-1@10", change(2, 200, 400));
@@ -347,7 +347,7 @@
 #[test]
 fn ledger_without_loss_field_is_read() {
     let text = r#"{"taken":70,"writers":[{"router":"host-1@10","number":3}]}"#;
-    let ledger: BudgetLedger = serde_json::from_str(text).expect("a ledger");
+    let ledger: WorkspaceLedger = serde_json::from_str(text).expect("a ledger");
     assert_eq!((ledger.taken, ledger.lost), (70, 0));
     assert!(ledger.has_change("host-1@10", 3));
 }
--- a/crates/beechsaddle/src/gateway/ledger_store.rs
+++ b/crates/beechsaddle/src/gateway/ledger_store.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-use beechsaddle_core::gateway::{BudgetLedger, LedgerChange, TokenTransfer};
+use beechsaddle_core::gateway::{LedgerChange, TokenTransfer, WorkspaceLedger};
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::report::LogLevel;
 use beechsaddle_platform::{ObjectKind, StoreFailure, StoreObject};
@@ -17,7 +17,7 @@
 pub(super) struct StoredLedger {
     /// The revision of its last change.
     pub(super) revision: u64,
-    pub(super) ledger: BudgetLedger,
+    pub(super) ledger: WorkspaceLedger,
 }
 
 /// The outcome of a write.
@@ -75,7 +75,7 @@
     }
 
     async fn create(&self, name: &str) -> Result<StoredLedger, StoreFailure> {
-        let empty = encode(&BudgetLedger::default())?;
+        let empty = encode(&WorkspaceLedger::default())?;
         let started = self.state.now();
         let kind = ObjectKind::Budgets;
         let created = self.state.store.create(kind, name, &empty).await;
@@ -172,7 +172,7 @@
         workspace: &WorkspaceName,
         change: LedgerChange,
         base: &StoredLedger,
-        ledger: &BudgetLedger,
+        ledger: &WorkspaceLedger,
         revision: u64,
     ) {
         let (what, tokens) = match change.transfer {
@@ -204,7 +204,7 @@
     }
 }
 
-fn encode(ledger: &BudgetLedger) -> Result<Value, StoreFailure> {
+fn encode(ledger: &WorkspaceLedger) -> Result<Value, StoreFailure> {
     serde_json::to_value(ledger).map_err(|error| StoreFailure::Malformed(error.to_string()))
 }
 
--- a/crates/beechsaddle/src/gateway/ledger_updates.rs
+++ b/crates/beechsaddle/src/gateway/ledger_updates.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use beechsaddle_core::gateway::{BudgetLedger, EscrowRole, PeerRecord};
+use beechsaddle_core::gateway::{EscrowRole, PeerRecord, WorkspaceLedger};
 use beechsaddle_core::prelude::*;
 use beechsaddle_core::report::LogLevel;
 use tokio::task::spawn_local;
@@ -62,7 +62,7 @@
     revision: u64,
     ledger: &[u8],
 ) -> Result<(), serde_json::Error> {
-    let ledger: BudgetLedger = serde_json::from_slice(ledger)?;
+    let ledger: WorkspaceLedger = serde_json::from_slice(ledger)?;
     let facts = state.escrow.borrow().facts(state.now(), &workspace);
     if facts.is_some_and(|facts| facts.role == EscrowRole::Allocator) {
         let update = LedgerUpdate {
